--- a/src/cell/evacuation.rs
+++ b/src/cell/evacuation.rs
@@ -12,12 +12,12 @@
 
 impl Cell {
     /// Nothing is placed until it is known which halls are evacuated.
-    pub fn await_halls(&mut self) {
+    pub fn await_evacuated_halls(&mut self) {
         self.evacuated = None;
     }
 
     /// These halls are evacuated, and no others.
-    pub fn evacuate_halls(&mut self, halls: &Arc<Halls>) {
+    pub fn set_evacuated_halls(&mut self, halls: &Arc<Halls>) {
         let known = self.evacuated.as_ref();
         if known.is_some_and(|known| Arc::ptr_eq(known, halls) || known == halls) {
             return;
--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -45,14 +45,14 @@
         };
         let workspace = row.workspace.as_ref().map(|accepted| {
             let newest = self.config.workspace(&accepted.name);
-            self.ledger.open(newest.unwrap_or(accepted))
+            self.ledger.open_account(newest.unwrap_or(accepted))
         });
         self.unpark_racks(&row.spec.steps, now);
         let spec = row.spec.clone().with_bounded_estimates();
         let key = self.jobs.insert(Job {
             id: row.id,
             workspace,
-            chain: urgency::longest_chain(&spec, |_| true),
+            chain: urgency::critical_path(&spec, |_| true),
             spec: Arc::new(spec),
             text: Arc::from(row.spec.text.as_str()),
             ordering: self.policy.order(&queue, &row.spec),
--- a/src/cell/ledger.rs
+++ b/src/cell/ledger.rs
@@ -36,7 +36,7 @@
 
 impl Ledger {
     /// The account of a workspace, as described if it is new.
-    pub(super) fn open(&mut self, workspace: &Workspace) -> WorkspaceKey {
+    pub(super) fn open_account(&mut self, workspace: &Workspace) -> WorkspaceKey {
         if let Some(&key) = self.names.get(&workspace.name) {
             return key;
         }
@@ -75,7 +75,7 @@
     }
 
     /// A run gives this back.
-    pub(super) fn give_back(&mut self, key: WorkspaceKey, demand: &Demand) {
+    pub(super) fn release(&mut self, key: WorkspaceKey, demand: &Demand) {
         let account = &mut self.accounts[key];
         account.held = account.held.minus(demand);
     }
--- a/src/cell/look.rs
+++ b/src/cell/look.rs
@@ -264,7 +264,7 @@
         if self.jobs[job_key].state.is_final() || task.done || !free {
             return None;
         }
-        let trial = self.is_tried(step_key, entry.task.index);
+        let trial = self.needs_trial(step_key, entry.task.index);
         let room = step.step().room();
         if !room.fits(&self.workers[worker].free()) {
             self.counts.violations += 1;
--- a/src/cell/lost.rs
+++ b/src/cell/lost.rs
@@ -1,7 +1,7 @@
 //! Lives that are over, and on which starts may be forgotten.
 //!
 //! What a former owner had started on such a life, and not recorded, nobody can tell any more.  Whoever
-//! finds the life over marks all jobs that the former owner knew ([`Cell::starts_may_be_forgotten`]),
+//! finds the life over marks all jobs that the former owner knew ([`Cell::assume_unrecorded_starts`]),
 //! and a successor that does not find the life in the roster takes for granted that nothing was lost
 //! there.  So it stays in the roster until each of those jobs is read and its mark is recorded
 //! (docs/DESIGN.md, "Tasks that crash their workers"; docs/incidents/forgotten-starts.md).
@@ -48,7 +48,7 @@
             self.keep_in_roster(entry, hides_starts);
         }
         if hides_starts {
-            self.starts_may_be_forgotten();
+            self.assume_unrecorded_starts();
         }
     }
 
@@ -78,7 +78,7 @@
             ..entry.clone()
         };
         self.keep_in_roster(entry, true);
-        self.starts_may_be_forgotten();
+        self.assume_unrecorded_starts();
     }
 
     /// The entry of a life of this id that is over and stays in the roster.
--- a/src/cell/parking.rs
+++ b/src/cell/parking.rs
@@ -30,7 +30,7 @@
     /// run something, so none is parked before it has answered.
     pub fn doubt_roster(&mut self) {
         self.roster_is_whole = false;
-        self.starts_may_be_forgotten();
+        self.assume_unrecorded_starts();
     }
 
     /// Workers that are not parked any more and are to be looked at, each told once.
--- a/src/cell/plan.rs
+++ b/src/cell/plan.rs
@@ -14,12 +14,12 @@
 impl Cell {
     /// Tells whether a start of a task is recorded before it is sent.
     pub(super) fn is_recorded_first(&self, key: StepKey, index: u32) -> bool {
-        self.jobs[self.steps[key].job].careful || self.is_tried(key, index)
+        self.jobs[self.steps[key].job].careful || self.needs_trial(key, index)
     }
 
     /// A life that the former owner may have used is over, or unheard for good: what it had started
     /// there, and not recorded, is forgotten.  So it is of jobs that are not read yet.
-    pub(super) fn starts_may_be_forgotten(&mut self) {
+    pub(super) fn assume_unrecorded_starts(&mut self) {
         if self.forgets_starts {
             // Jobs that were taken in since are marked already.
             return;
@@ -68,7 +68,7 @@
                 continue;
             }
             if !self.can_start(key, now) {
-                self.drop_plan(key);
+                self.drop_planned_start(key);
             } else if self.is_plan_recorded(key) && self.is_trial_telling(key, now) {
                 self.send_start(key, now);
             } else {
@@ -138,7 +138,7 @@
     }
 
     /// A planned start is not sent, nor are those of its gang.
-    pub(super) fn drop_plan(&mut self, key: RunKey) {
+    pub(super) fn drop_planned_start(&mut self, key: RunKey) {
         // It may have been dropped with its gang.
         let Some(step) = self.runs.get(key).map(|run| run.step) else {
             return;
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -70,7 +70,7 @@
         }
         let job = &self.jobs[step.job];
         if let Some(workspace) = job.workspace {
-            self.ledger.give_back(workspace, &spec.demand);
+            self.ledger.release(workspace, &spec.demand);
         }
         let queue = &job.queue.name;
         if let Some(held) = self.held.get_mut(queue) {
@@ -214,7 +214,7 @@
             return;
         };
         if run.phase == Phase::Planned {
-            return self.drop_plan(key);
+            return self.drop_planned_start(key);
         }
         let number = run.number;
         let task = self.steps[run.step].task_name(run.index);
@@ -432,7 +432,7 @@
         let planned = self.workers[key].runs.iter().copied();
         let planned: Vec<RunKey> = planned.filter(|&run| self.is_planned(run)).collect();
         for run in planned {
-            self.drop_plan(run);
+            self.drop_planned_start(run);
         }
         let runs = self.workers[key].runs.clone();
         self.log_lost_runs(key, &runs, now);
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -80,17 +80,17 @@
         if self.steps[key].step().gang {
             return self.schedule_gang(key, &waiting, round);
         }
-        if let Some(limit) = self.limit(key, 1) {
+        if let Some(limit) = self.exceeded_limit(key, 1) {
             return Some((limit, waiting.len()));
         }
         let mut left = waiting.len() as u32;
         let mut started = Vec::new();
         let mut limit = None;
-        let mut places = self.places(key, round);
+        let mut places = self.placement_candidates(key, round);
         let doubted = self.is_step_doubted(key);
         let mut plans_left = self.plans_left(key);
         for index in waiting {
-            limit = self.limit(key, 1);
+            limit = self.exceeded_limit(key, 1);
             if limit.is_some() {
                 break;
             }
@@ -160,7 +160,7 @@
     }
 
     /// Which limit keeps so many more tasks of a step from starting, if one does.
-    pub(super) fn limit(&self, key: StepKey, tasks: u32) -> Option<WaitReason> {
+    pub(super) fn exceeded_limit(&self, key: StepKey, tasks: u32) -> Option<WaitReason> {
         if !self.is_within_quota(key, tasks) {
             return Some(WaitReason::Quota);
         }
@@ -210,7 +210,7 @@
     }
 
     /// The places where a task of the step could start now.
-    pub(super) fn places(&self, key: StepKey, round: &mut Round) -> Vec<Place> {
+    pub(super) fn placement_candidates(&self, key: StepKey, round: &mut Round) -> Vec<Place> {
         let step = &self.steps[key];
         let queue = &self.jobs[step.job].queue;
         let spec = step.step();
@@ -314,10 +314,10 @@
         if waiting.len() < size {
             return None;
         }
-        if let Some(limit) = self.limit(key, size as u32) {
+        if let Some(limit) = self.exceeded_limit(key, size as u32) {
             return Some((limit, size));
         }
-        let mut places = self.places(key, round);
+        let mut places = self.placement_candidates(key, round);
         let trial = self.is_step_doubted(key) || self.steps[key].tasks.iter().any(Task::is_suspect);
         if trial {
             places.retain(|place| self.is_quiet(place.worker, key, round.now));
--- a/src/cell/trial.rs
+++ b/src/cell/trial.rs
@@ -11,7 +11,7 @@
 
 impl Cell {
     /// Tells whether a task is tried by itself: it may have crashed a worker, or its step is doubted.
-    pub(super) fn is_tried(&self, key: StepKey, index: u32) -> bool {
+    pub(super) fn needs_trial(&self, key: StepKey, index: u32) -> bool {
         self.steps[key].tasks[index as usize].is_suspect() || self.is_step_doubted(key)
     }
 
@@ -35,11 +35,11 @@
     /// must start together.
     pub(super) fn is_on_trial(&self, worker: WorkerKey, step: StepKey) -> bool {
         let worker = &self.workers[worker];
-        let is_tried = |&run: &RunKey| {
+        let is_active_trial = |&run: &RunKey| {
             let run = &self.runs[run];
             run.trial && !run.proven && !self.start_together(run.step, step)
         };
-        worker.trials > 0 && worker.runs.iter().any(is_tried)
+        worker.trials > 0 && worker.runs.iter().any(is_active_trial)
     }
 
     fn start_together(&self, one: StepKey, other: StepKey) -> bool {
@@ -76,8 +76,8 @@
     /// each try may cost a worker, so nothing more of it is tried before the last one is clear.
     fn may_be_tried(&self, key: StepKey) -> bool {
         let is_open = |&run: &RunKey| {
-            let is_tried = self.runs[run].trial && !self.runs[run].proven;
-            is_tried || self.is_unheard(run)
+            let is_trial = self.runs[run].trial && !self.runs[run].proven;
+            is_trial || self.is_unheard(run)
         };
         let mut runs = self.steps[key].tasks.iter().flat_map(|task| &task.runs);
         let most = (self.workers.len() / tuning::WORKERS_PER_TRIAL).max(1);
--- a/src/cell/urgency.rs
+++ b/src/cell/urgency.rs
@@ -50,7 +50,7 @@
         let Some(steps) = job.times.get(&time) else {
             return 0;
         };
-        longest_chain(&job.spec, |place| self.steps[steps[place]].open > 0)
+        critical_path(&job.spec, |place| self.steps[steps[place]].open > 0)
     }
 
     /// The work of all tasks of a job that are not done, in core-milliseconds.
@@ -67,7 +67,7 @@
 }
 
 /// How long the steps of a job take that count, one after the other as they must.
-pub(super) fn longest_chain(spec: &JobSpec, counts: impl Fn(usize) -> bool) -> Millis {
+pub(super) fn critical_path(spec: &JobSpec, counts: impl Fn(usize) -> bool) -> Millis {
     let mut ends: Vec<Millis> = Vec::with_capacity(spec.steps.len());
     for (place, step) in spec.steps.iter().enumerate() {
         let begins = step.after.iter().map(|&earlier| ends[earlier]).max();
--- a/src/cell/view.rs
+++ b/src/cell/view.rs
@@ -164,14 +164,16 @@
         if self.is_unsettled(step, &self.find_untaken()) {
             return WaitReason::Settling;
         }
-        if let Some(limit) = self.limit(key, step.step().tasks_at_once()) {
+        if let Some(limit) = self.exceeded_limit(key, step.step().tasks_at_once()) {
             return limit;
         }
         let mut waiting = step.tasks.iter().enumerate();
-        if waiting.any(|(index, task)| task.waits() && self.is_tried(key, index as u32)) {
+        if waiting.any(|(index, task)| task.waits() && self.needs_trial(key, index as u32)) {
             return WaitReason::AfterCrash;
         }
-        let has_places = !self.places(key, &mut Round::new(now)).is_empty();
+        let has_places = !self
+            .placement_candidates(key, &mut Round::new(now))
+            .is_empty();
         if has_places || self.waits_for_waking(key, now) {
             return WaitReason::Soon;
         }
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -365,7 +365,7 @@
             let (orders, waits, survey) = {
                 let mut cell = self.cell();
                 if let Some(halls) = &halls {
-                    cell.evacuate_halls(halls);
+                    cell.set_evacuated_halls(halls);
                 }
                 cell.tell_wall_clock(clock::since_1970());
                 cell.tick(now);
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -143,7 +143,7 @@
     }
     cell.list_former_workers(workers, now);
     cell.await_list();
-    cell.await_halls();
+    cell.await_evacuated_halls();
     if let Some(lapses) = recording::read_lapses(&former.0) {
         cell.expect_lapses(&lapses, now);
     }
--- a/tests/evacuated_halls.rs
+++ b/tests/evacuated_halls.rs
@@ -70,7 +70,7 @@
 fn tasks_start_only_where_no_hall_is_evacuated() {
     // Arrange
     let mut bench = bench(4);
-    bench.cell.evacuate_halls(&halls(&[NORTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH]));
     bench.accept(&job(1, &queue("q", 0), vec![step(8, 4_000)]));
 
     // Act
@@ -92,7 +92,7 @@
     bench.accept(&job(2, &queue("q", 0), vec![lasting]));
     bench.start_all();
 
-    bench.cell.evacuate_halls(&halls(&[NORTH, SOUTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH, SOUTH]));
     bench.look_at_all();
     bench.pass(50);
 
@@ -109,7 +109,7 @@
     };
     bench.accept(&job(1, &queue("q", 0), vec![lasting]));
     let started = bench.start_all();
-    bench.cell.evacuate_halls(&halls(&[NORTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH]));
 
     // Act
     for start in &started {
@@ -126,7 +126,7 @@
 #[test]
 fn a_gang_waits_for_halls_that_are_in_use() {
     let mut bench = bench(4);
-    bench.cell.evacuate_halls(&halls(&[SOUTH]));
+    bench.cell.set_evacuated_halls(&halls(&[SOUTH]));
     let gang = Step {
         gang: true,
         ..step(4, 16_000)
@@ -134,7 +134,7 @@
     bench.accept(&job(1, &queue("q", 0), vec![gang]));
 
     let during = bench.start_all();
-    bench.cell.evacuate_halls(&halls(&[]));
+    bench.cell.set_evacuated_halls(&halls(&[]));
     let after = bench.start_all();
 
     assert_eq!((during.len(), after.len()), (0, 4));
@@ -143,7 +143,7 @@
 #[test]
 fn nobody_is_asked_about_workers_of_an_evacuated_hall() {
     let mut bench = bench(6);
-    bench.cell.evacuate_halls(&halls(&[NORTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH]));
     bench.accept(&job(1, &advised_queue("advised", 0), vec![step(6, 4_000)]));
 
     let asked = questions(&bench.decide());
@@ -158,7 +158,7 @@
     bench.accept(&job(1, &advised_queue("advised", 0), vec![step(1, 4_000)]));
     let asked = questions(&bench.decide());
     let only = vec![(String::from("w0"), String::from("ticket"))];
-    bench.cell.evacuate_halls(&halls(&[NORTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH]));
 
     // Act
     bench.cell.advised(&asked[0], Some(only), bench.now);
@@ -171,7 +171,7 @@
 fn room_in_an_evacuated_hall_is_not_waited_for() {
     // Arrange: the north is free, and the south is full of what lasts.
     let mut bench = bench(2);
-    bench.cell.evacuate_halls(&halls(&[NORTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH]));
     let lasting = Step {
         lasting: true,
         ..step(1, 8_000)
@@ -203,11 +203,11 @@
 
     // Act
     for names in orders {
-        bench.cell.evacuate_halls(&halls(names));
+        bench.cell.set_evacuated_halls(&halls(names));
     }
     let during = bench.start_all();
     let reason = waits_for(&bench, 1);
-    bench.cell.evacuate_halls(&halls(&[]));
+    bench.cell.set_evacuated_halls(&halls(&[]));
     let after = bench.start_all();
 
     // Assert
@@ -218,11 +218,11 @@
 #[test]
 fn a_successor_starts_nothing_before_it_knows_the_halls() {
     let mut bench = bench(2);
-    bench.cell.await_halls();
+    bench.cell.await_evacuated_halls();
     bench.accept(&job(1, &queue("q", 0), vec![step(2, 4_000)]));
 
     let before = bench.start_all();
-    bench.cell.evacuate_halls(&halls(&[NORTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH]));
     let after = bench.start_all();
 
     assert!(before.is_empty());
@@ -232,7 +232,7 @@
 #[test]
 fn a_worker_that_moves_to_another_hall_counts_there() {
     let mut bench = bench(1);
-    bench.cell.evacuate_halls(&halls(&[NORTH]));
+    bench.cell.set_evacuated_halls(&halls(&[NORTH]));
     let moved = WorkerEntry {
         hall: SOUTH.to_owned(),
         ..worker(0)
--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -399,7 +399,7 @@
         cell.list_former_workers(self.roster.clone(), self.now);
         cell.list_workers(self.store_lists(), self.now);
         if let Some(operator) = &mut self.operator {
-            cell.evacuate_halls(&operator.read());
+            cell.set_evacuated_halls(&operator.read());
         }
         // Some rows lie where the store cannot be read just now.
         let hides_rows = self.hides_rows();
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -193,7 +193,9 @@
 
     pub(super) fn decide(&mut self) {
         if let Some(operator) = &mut self.operator {
-            self.owner.cell.evacuate_halls(&operator.told(self.now));
+            self.owner
+                .cell
+                .set_evacuated_halls(&operator.told(self.now));
         }
         self.owner.cell.tick(self.now);
         self.owner.cell.schedule(self.now);
