--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -56,17 +56,17 @@
 
 /// Losses on one life of a worker whose fate is not known yet.
 #[derive(Debug)]
-pub(super) struct Doubt {
+pub(super) struct PendingLosses {
     machine: String,
     /// When the first of them was noted, by our clock.
     since: Millis,
-    places: Vec<NotedLoss>,
+    losses: Vec<PendingLoss>,
 }
 
 /// A loss whose verdict is out.
 #[derive(Debug, Clone, Copy)]
-struct NotedLoss {
-    place: LossKey,
+struct PendingLoss {
+    loss_key: LossKey,
     /// When it was noted: only the answer to a later look shows that the life has survived it.
     noted: Sequence,
 }
@@ -116,13 +116,13 @@
 
     /// Tells whether it may be started as far as its losses go.  While the verdict on the last one would
     /// end the job, that is awaited, or a worker that is slow to come back lets it crash one more.
-    pub(super) fn may_be_risked(&self) -> bool {
+    pub(super) fn losses_allow_start(&self) -> bool {
         let may_count = |loss: &Loss| loss.crashed || loss.blame != Blame::Late;
-        !self.is_hopeless(may_count)
+        !self.exceeds_crash_limit(may_count)
     }
 
     /// Tells whether the job is given up if those losses count which `counts` names.
-    fn is_hopeless(&self, counts: impl Fn(&Loss) -> bool) -> bool {
+    fn exceeds_crash_limit(&self, counts: impl Fn(&Loss) -> bool) -> bool {
         let counted = || self.losses.iter().filter(|loss| counts(loss));
         let sole = || counted().filter(|loss| loss.blame == Blame::Sole);
         let shown = sole().filter(|loss| !loss.unanswered);
@@ -134,7 +134,7 @@
 
 impl Cell {
     /// A worker has been silent for a while: the next owner must know what may have crashed it.
-    pub(super) fn suspect_silent(&mut self, key: WorkerKey, now: Millis) {
+    pub(super) fn note_suspects_of_silent(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         let silent = |since| now.saturating_sub(since) >= tuning::SUSPECT_AFTER;
         if worker.suspected || !worker.silent_since.is_some_and(silent) {
@@ -152,7 +152,7 @@
         if !fresh.is_empty() {
             return self.note_fresh(&fresh, now);
         }
-        let young = self.young_runs(key);
+        let young = self.unproven_runs(key);
         let runs = if young.is_empty() {
             self.workers[key].runs.clone()
         } else {
@@ -190,13 +190,13 @@
     /// eight crashes the start had been answered some milliseconds before.
     fn fresh_starts(&self, key: WorkerKey, now: Millis) -> Vec<RunKey> {
         let silent = self.workers[key].silent_since.unwrap_or(now);
-        let young = self.young_runs(key).into_iter();
+        let young = self.unproven_runs(key).into_iter();
         young
             .filter(|&run| self.runs[run].is_fresh(silent))
             .collect()
     }
 
-    fn young_runs(&self, key: WorkerKey) -> Vec<RunKey> {
+    fn unproven_runs(&self, key: WorkerKey) -> Vec<RunKey> {
         let runs = self.workers[key].runs.iter().copied();
         let is_young = |run: &RunKey| {
             let run = &self.runs[*run];
@@ -230,13 +230,13 @@
             None => losses.push(loss),
         }
         job.dirty = true;
-        let place = self.loss_key(key);
-        self.doubt(life, machine, place, now);
+        let loss_key = self.loss_key(key);
+        self.doubt(life, machine, loss_key, now);
     }
 
     /// Notes a run whose start is recorded first.  Should the owner be lost, its successor knows of
     /// the start but not whether it was sent, so it blames others as well.
-    pub(super) fn note_plan(&mut self, key: RunKey) {
+    pub(super) fn note_planned_start(&mut self, key: RunKey) {
         let loss = Loss {
             planned: true,
             ..self.loss_of(key)
@@ -267,38 +267,38 @@
         LossKey::of(&self.runs[key])
     }
 
-    fn doubt(&mut self, life: Life, machine: String, place: LossKey, now: Millis) {
+    fn doubt(&mut self, life: Life, machine: String, loss_key: LossKey, now: Millis) {
         let noted = self.next_sequence();
-        let doubt = self.doubts.entry(life).or_insert_with(|| Doubt {
+        let doubt = self.doubts.entry(life).or_insert_with(|| PendingLosses {
             machine,
             since: now,
-            places: Vec::new(),
+            losses: Vec::new(),
         });
-        doubt.places.push(NotedLoss { place, noted });
+        doubt.losses.push(PendingLoss { loss_key, noted });
     }
 
     /// A worker has answered a look: what was noted of this life before the look was sent did not crash
     /// it, nor did a start that was given up as unanswered and barred by then.
-    pub(super) fn clear_doubts(&mut self, key: WorkerKey, sent: Sequence) {
-        for run in self.young_runs(key) {
+    pub(super) fn clear_survived_losses(&mut self, key: WorkerKey, sent: Sequence) {
+        for run in self.unproven_runs(key) {
             let given_up = self.runs[run].doubted.is_some_and(|heard| heard < sent);
             if given_up && !self.may_begin_after(run, sent) {
-                self.is_not_to_blame(run);
-            } else if given_up || self.has_outlived(key, run) {
-                self.tells_nothing(run);
+                self.mark_proven(run);
+            } else if given_up || self.is_past_start_window(key, run) {
+                self.mark_inconclusive(run);
             }
         }
         let worker = &mut self.workers[key];
         worker.suspected = false;
         let life = worker.entry.life.clone();
         // An owner that did not know when the life started may have noted it so.
-        self.clear_doubt(&Life::of(life.id.as_str()), sent);
-        self.clear_doubt(&life, sent);
+        self.clear_losses_of_life(&Life::of(life.id.as_str()), sent);
+        self.clear_losses_of_life(&life, sent);
     }
 
     /// Tells whether a worker's clock is past the time at which a start without an answer would have
     /// been carried out, by an answer to any look: one that is held for an end was sent before.
-    fn has_outlived(&self, key: WorkerKey, run: RunKey) -> bool {
+    fn is_past_start_window(&self, key: WorkerKey, run: RunKey) -> bool {
         let run = &self.runs[run];
         let sent = run.expires.saturating_sub(tuning::START_VALID);
         let is_past = |(clock, _): (Millis, Millis)| clock >= sent + tuning::START_ARRIVES;
@@ -307,7 +307,7 @@
     }
 
     /// A worker has outlived a start that may still come late: a crash of it shows nothing any more.
-    fn tells_nothing(&mut self, key: RunKey) {
+    fn mark_inconclusive(&mut self, key: RunKey) {
         let run = &mut self.runs[key];
         run.is_telling = false;
         let number = run.number;
@@ -317,27 +317,27 @@
         }
     }
 
-    fn clear_doubt(&mut self, life: &Life, sent: Sequence) {
+    fn clear_losses_of_life(&mut self, life: &Life, sent: Sequence) {
         let Some(mut doubt) = self.doubts.swap_remove(life) else {
             return;
         };
-        let is_open = |noted: &NotedLoss| {
-            let run = self.find_lost_run(noted.place);
+        let is_open = |noted: &PendingLoss| {
+            let run = self.find_lost_run(noted.loss_key);
             noted.noted >= sent || run.is_some_and(|run| self.may_begin_after(run, sent))
         };
-        let (open, clear) = doubt.places.into_iter().partition(is_open);
-        doubt.places = open;
-        if !doubt.places.is_empty() {
+        let (open, clear) = doubt.losses.into_iter().partition(is_open);
+        doubt.losses = open;
+        if !doubt.losses.is_empty() {
             self.doubts.insert(life.clone(), doubt);
         }
-        self.forget_noted(clear);
+        self.forget_pending(clear);
     }
 
     /// The run of a loss, if it may still go on.
-    fn find_lost_run(&self, place: LossKey) -> Option<RunKey> {
-        let task = &self.steps.get(place.step)?.tasks[place.index as usize];
+    fn find_lost_run(&self, loss_key: LossKey) -> Option<RunKey> {
+        let task = &self.steps.get(loss_key.step)?.tasks[loss_key.index as usize];
         let mut runs = task.runs.iter().copied();
-        runs.find(|&run| self.runs[run].number == place.run)
+        runs.find(|&run| self.runs[run].number == loss_key.run)
     }
 
     /// Tells whether a start without an answer may be carried out after a look was sent: no stop had
@@ -349,15 +349,15 @@
         run.begun.is_none() && !is_barred
     }
 
-    fn drop_doubt(&mut self, life: &Life) {
+    fn discard_pending_losses(&mut self, life: &Life) {
         if let Some(doubt) = self.doubts.swap_remove(life) {
-            self.forget_noted(doubt.places);
+            self.forget_pending(doubt.losses);
         }
     }
 
-    fn forget_noted(&mut self, losses: Vec<NotedLoss>) {
-        for NotedLoss { place, .. } in losses {
-            self.forget_loss(place);
+    fn forget_pending(&mut self, losses: Vec<PendingLoss>) {
+        for PendingLoss { loss_key, .. } in losses {
+            self.forget_loss(loss_key);
         }
     }
 
@@ -368,63 +368,66 @@
         let Some(doubt) = self.doubts.swap_remove(life) else {
             return;
         };
-        for NotedLoss { place, .. } in doubt.places {
-            if !awaited.contains(&place) {
-                self.count_crash(place, now);
+        for PendingLoss { loss_key, .. } in doubt.losses {
+            if !awaited.contains(&loss_key) {
+                self.count_crash(loss_key, now);
             }
         }
     }
 
     /// It shows later whether a start was carried out by the life that is over.
     pub(super) fn await_verdict(&mut self, key: RunKey) {
-        let place = self.loss_key(key);
-        self.awaited.insert(key, place);
+        let loss_key = self.loss_key(key);
+        self.awaited.insert(key, loss_key);
     }
 
     /// A run is found in a life of its worker that goes on.
-    pub(super) fn has_survived(&mut self, key: RunKey) {
-        if let Some(place) = self.awaited.remove(&key) {
-            self.forget_loss(place);
+    pub(super) fn note_survival(&mut self, key: RunKey) {
+        if let Some(loss_key) = self.awaited.remove(&key) {
+            self.forget_loss(loss_key);
         }
     }
 
     /// A start whose worker was lost is found nowhere: if it was carried out, then by the life that
     /// is over.
-    pub(super) fn begins_no_more(&mut self, key: RunKey, now: Millis) {
-        if let Some(place) = self.awaited.remove(&key) {
-            self.count_crash(place, now);
+    pub(super) fn start_not_found(&mut self, key: RunKey, now: Millis) {
+        if let Some(loss_key) = self.awaited.remove(&key) {
+            self.count_crash(loss_key, now);
         }
     }
 
     /// The answer to a start came after its worker had been lost.
     pub(super) fn start_answered_late(&mut self, key: RunKey, outcome: StartOutcome, now: Millis) {
-        let Some(place) = self.awaited.remove(&key) else {
+        let Some(loss_key) = self.awaited.remove(&key) else {
             return;
         };
         match outcome {
             StartOutcome::Refused(_) => {
-                self.forget_loss(place);
+                self.forget_loss(loss_key);
             }
-            StartOutcome::Started | StartOutcome::Unanswered => self.count_crash(place, now),
+            StartOutcome::Started | StartOutcome::Unanswered => self.count_crash(loss_key, now),
         }
     }
 
-    fn count_crash(&mut self, place: LossKey, now: Millis) {
-        let Some(step) = self.steps.get_mut(place.step) else {
+    fn count_crash(&mut self, loss_key: LossKey, now: Millis) {
+        let Some(step) = self.steps.get_mut(loss_key.step) else {
             return;
         };
-        let (job, name) = (step.job, step.task_name(place.index));
-        let task = &mut step.tasks[place.index as usize];
-        let Some(loss) = task.losses.iter_mut().find(|loss| loss.run == place.run) else {
+        let (job, name) = (step.job, step.task_name(loss_key.index));
+        let task = &mut step.tasks[loss_key.index as usize];
+        let Some(loss) = task.losses.iter_mut().find(|loss| loss.run == loss_key.run) else {
             return;
         };
         loss.crashed = true;
         loss.planned = false;
         let (worker, blame) = (loss.worker.clone(), loss.blame);
-        let (losses, hopeless) = (task.losses.len(), task.is_hopeless(|loss| loss.crashed));
+        let (losses, hopeless) = (
+            task.losses.len(),
+            task.exceeds_crash_limit(|loss| loss.crashed),
+        );
         // Of ten runs that were merely there nothing is to be told.
         if blame != Blame::Late || hopeless {
-            tracing::info!(request = %name.step.job, task = %name, run = place.run, worker, ?blame, losses, hopeless, "worker crashed under a task");
+            tracing::info!(request = %name.step.job, task = %name, run = loss_key.run, worker, ?blame, losses, hopeless, "worker crashed under a task");
         }
         self.counts.crashes += 1;
         if self.jobs[job].state.is_final() {
@@ -433,14 +436,14 @@
         self.jobs[job].dirty = true;
         if hopeless {
             self.end_job(job, JobState::Failed);
-            self.stop_step(place.step, now, "job has failed");
+            self.stop_step(loss_key.step, now, "job has failed");
         }
     }
 
     /// Decides about lives that are not listed any more: another life of the machine that answers
     /// proves that they crashed.  A worker that was cut off, drained or removed has none, and nothing is
     /// held against a task for ever.
-    pub(super) fn settle_doubts(&mut self, now: Millis) {
+    pub(super) fn resolve_pending_losses(&mut self, now: Millis) {
         if self.doubts.is_empty() || self.awaits_list {
             return;
         }
@@ -457,13 +460,13 @@
             self.confirm_crash(&life, &[], now);
         }
         for life in faded {
-            self.drop_doubt(&life);
+            self.discard_pending_losses(&life);
         }
     }
 
     /// Tells whether another life of its machine proves that a life is over: one that was heard after
     /// that life was doubted.  Its entry alone may be that of an earlier life.
-    fn is_over(&self, life: &Life, doubt: &Doubt) -> bool {
+    fn is_over(&self, life: &Life, doubt: &PendingLosses) -> bool {
         match self.worker_ids.get(&life.id).map(|&key| &self.workers[key]) {
             Some(worker) => worker.fenced && worker.entry.life.differs_from(life.born),
             None => self.workers.values().any(|worker| {
@@ -490,13 +493,13 @@
         self.steps[step].tasks[index as usize].losses = losses.iter().map(recorded).collect();
         for loss in losses.iter().filter(|loss| !loss.crashed) {
             let run = loss.run;
-            let place = LossKey { step, index, run };
-            self.doubt(loss.life(), loss.machine.clone(), place, now);
+            let loss_key = LossKey { step, index, run };
+            self.doubt(loss.life(), loss.machine.clone(), loss_key, now);
         }
     }
 
     /// These losses of a task are durable.
-    pub(super) fn losses_are_recorded(&mut self, step: StepKey, index: u32, recorded: &[Loss]) {
+    pub(super) fn mark_losses_recorded(&mut self, step: StepKey, index: u32, recorded: &[Loss]) {
         for loss in &mut self.steps[step].tasks[index as usize].losses {
             loss.recorded |= recorded.iter().any(|other| other.run == loss.run);
         }
@@ -504,7 +507,7 @@
 
     /// A look shows that a run goes on: after a while it is not to blame for what was lost when it
     /// began, and long after for nothing.
-    pub(super) fn prove_run(&mut self, key: RunKey, now: Millis) {
+    pub(super) fn clear_losses_by_age(&mut self, key: RunKey, now: Millis) {
         let run = &mut self.runs[key];
         let age = now.saturating_sub(run.answered);
         let (step, index) = (run.step, run.index);
@@ -512,7 +515,7 @@
             return;
         }
         if !run.proven {
-            self.is_not_to_blame(key);
+            self.mark_proven(key);
             self.forget_losses(step, index, |loss| loss.blame != Blame::Late);
         }
         if age >= tuning::LOSSES_FADE {
@@ -520,15 +523,17 @@
         }
     }
 
-    fn is_not_to_blame(&mut self, key: RunKey) {
+    fn mark_proven(&mut self, key: RunKey) {
         let run = &mut self.runs[key];
         run.proven = true;
         self.workers[run.worker].trials -= u32::from(run.trial);
     }
 
     /// Nothing is held against a task for one of its runs any more.
-    pub(super) fn forget_loss(&mut self, place: LossKey) {
-        self.forget_losses(place.step, place.index, |loss| loss.run == place.run);
+    pub(super) fn forget_loss(&mut self, loss_key: LossKey) {
+        self.forget_losses(loss_key.step, loss_key.index, |loss| {
+            loss.run == loss_key.run
+        });
     }
 
     pub(super) fn forget_losses(
--- a/src/cell/lapse.rs
+++ b/src/cell/lapse.rs
@@ -16,11 +16,11 @@
 
 /// The most workers that are told of, so that they fit into a row of the store.  A successor waits
 /// the whole time for those that are left out.
-const MOST_TOLD: usize = 1_000;
+const MAX_WORKERS: usize = 1_000;
 
 /// What an owner that gives the cell up knows of silent workers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lapses {
+pub struct RemainingLeases {
     /// Its epoch: only the next owner may rely on it, since that one may have renewed leases.
     pub epoch: u64,
     /// For how long something may still run there, by the worker's id.
@@ -30,10 +30,10 @@
 impl Cell {
     /// Tells for how long something may still run on workers that are silent.  From here on
     /// this owner renews no lease there and starts nothing.
-    pub fn seal_silent(&mut self, now: Millis) -> Lapses {
+    pub fn seal_silent(&mut self, now: Millis) -> RemainingLeases {
         let settle_by = self.settle_by;
         let mut within = BTreeMap::new();
-        for worker in self.workers.values_mut().filter(|w| is_out_of_reach(w)) {
+        for worker in self.workers.values_mut().filter(|w| has_unrenewed_lease(w)) {
             worker.sealed = true;
             if worker.has_unrecorded_ends() {
                 // Its lease says nothing of those: only this worker can tell a successor of them.
@@ -44,35 +44,35 @@
             } else {
                 worker.left_until.min(settle_by)
             };
-            if within.len() < MOST_TOLD {
+            if within.len() < MAX_WORKERS {
                 within.insert(worker.entry.life.id.clone(), until.saturating_sub(now));
             }
         }
-        Lapses {
+        RemainingLeases {
             epoch: self.epoch,
             within,
         }
     }
 
     /// Takes in what the former owner told, after its roster.
-    pub fn expect_lapses(&mut self, lapses: &Lapses, now: Millis) {
+    pub fn apply_remaining_leases(&mut self, lapses: &RemainingLeases, now: Millis) {
         if tuning::next_epoch(lapses.epoch) != self.epoch {
             return;
         }
         for (id, within) in &lapses.within {
             if let Some(worker) = self.worker_ids.get(id).map(|&key| &mut self.workers[key]) {
-                worker.left_until = now + drifted(*within);
+                worker.left_until = now + with_clock_drift(*within);
             }
         }
     }
 }
 
 /// Tells whether the worker's lease is not being renewed.
-fn is_out_of_reach(worker: &Worker) -> bool {
+fn has_unrenewed_lease(worker: &Worker) -> bool {
     worker.listing != Listing::Absent && (!worker.fenced || worker.is_silent())
 }
 
 /// The time by our clock in which `time` has passed by any other node's.
-fn drifted(time: Millis) -> Millis {
+fn with_clock_drift(time: Millis) -> Millis {
     time + time * tuning::DRIFT_PERMILLE / 1_000
 }
--- a/src/cell/look.rs
+++ b/src/cell/look.rs
@@ -14,7 +14,7 @@
 
 impl Cell {
     /// Takes in what a look brought.
-    pub fn looked(&mut self, order: &LookOrder, look: &Look, now: Millis) {
+    pub fn look_answered(&mut self, order: &LookOrder, look: &Look, now: Millis) {
         let key = order.to.worker;
         let heard = self.next_sequence();
         let Some(worker) = self.workers.get_mut(key) else {
@@ -24,7 +24,7 @@
             // A later look was answered first; whatever matters here is told again.
             return;
         }
-        if self.is_of_another_life(order, look, now) {
+        if self.detect_other_life(order, look, now) {
             return;
         }
         let worker = &mut self.workers[key];
@@ -42,12 +42,12 @@
         worker.clock = Some((look.clock, now));
         let first = !worker.fenced;
         worker.fenced = true;
-        self.clear_doubts(key, order.sequence);
+        self.clear_survived_losses(key, order.sequence);
         let worker = &mut self.workers[key];
         if first {
-            self.counts.unread_ends += u64::from(misses_ends(worker, look));
+            self.counts.unread_ends += u64::from(has_discarded_ends(worker, look));
             worker.lease_end = 0;
-            if may_have_foreign_lease(worker, look) {
+            if may_have_former_life_lease(worker, look) {
                 worker.may_have_longest_lease(now);
             }
             // A former owner may have renewed the lease just now: without this a task was
@@ -62,8 +62,8 @@
             );
             self.end_other_lives(key, order.sequence, now);
         }
-        self.take_ends(key, &look.ended, now);
-        let listed = self.take_running(order, look, newest, now);
+        self.process_ends(key, &look.ended, now);
+        let listed = self.process_running(order, look, newest, now);
         let worker = &mut self.workers[key];
         worker.listed_whole |= newest && !worker.more_ends && worker.unread.is_empty();
         self.remove_unlisted(key, order, look.clock, &listed, now);
@@ -100,14 +100,14 @@
     /// belongs to a job which was not read yet.  Ends behind that one count all the same: their
     /// runs are not listed as running any more, and their tasks would be started again.  While
     /// four in ten partitions of jobs were away, 490 tasks a day were.
-    pub(super) fn take_ends(&mut self, key: WorkerKey, ends: &[EndEntry], now: Millis) {
+    pub(super) fn process_ends(&mut self, key: WorkerKey, ends: &[EndEntry], now: Millis) {
         let mut held: Option<&EndEntry> = None;
         for end in ends {
             if self.is_unread(end.task) {
                 self.workers[key].unread.insert(end.task.step.job);
                 held = held.or(Some(end));
             } else if self.workers[key].take_place(end.place) {
-                self.take_end(key, end, now);
+                self.process_end(key, end, now);
             }
         }
         let forgettable = match held {
@@ -155,7 +155,7 @@
         comes && !job.state.is_final() && !job.times.contains_key(&time)
     }
 
-    fn take_end(&mut self, key: WorkerKey, end: &EndEntry, now: Millis) {
+    fn process_end(&mut self, key: WorkerKey, end: &EndEntry, now: Millis) {
         if matches!(end.how, EndKind::Done | EndKind::Failed) {
             self.note_kept_end(key, end);
         }
@@ -166,11 +166,11 @@
         let Some(step_key) = self.find_step(end.task) else {
             return;
         };
-        self.take_unknown_end(step_key, end, now);
+        self.process_unknown_end(step_key, end, now);
     }
 
     /// An end of a run that a former owner started, or that was written off.
-    fn take_unknown_end(&mut self, step_key: crate::cell::StepKey, end: &EndEntry, now: Millis) {
+    fn process_unknown_end(&mut self, step_key: crate::cell::StepKey, end: &EndEntry, now: Millis) {
         let job_key = self.steps[step_key].job;
         if self.jobs[job_key].state.is_final() {
             return;
@@ -182,16 +182,16 @@
         }
         match end.how {
             EndKind::Done => {
-                self.job_begins(job_key);
+                self.mark_job_running(job_key);
                 self.task_done(step_key, index, end.number, now);
             }
-            EndKind::Failed => self.count_former_failure(step_key, end, now),
+            EndKind::Failed => self.count_inherited_failure(step_key, end, now),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
         }
     }
 
     /// Takes in what runs, and returns which runs of ours that is.
-    fn take_running(
+    fn process_running(
         &mut self,
         order: &LookOrder,
         look: &Look,
@@ -210,12 +210,12 @@
             match known.or_else(|| self.adopt(key, entry, now)) {
                 Some(run) => {
                     listed.insert(run);
-                    self.doubt_stop(run, order);
-                    self.take_progress(run, entry, look.clock, now);
+                    self.clear_stale_stop_confirmation(run, order);
+                    self.update_progress(run, entry, look.clock, now);
                 }
                 None => {
                     strangers += 1;
-                    self.stop_stranger(key, entry.task, entry.number);
+                    self.stop_unknown_run(key, entry.task, entry.number);
                 }
             }
         }
@@ -227,7 +227,7 @@
 
     /// Stops a run that no job of ours accounts for; while some jobs could not be
     /// read it may belong to one of them.  One that has ended is known by its end alone.
-    fn stop_stranger(&mut self, worker: WorkerKey, task: TaskName, number: u64) {
+    fn stop_unknown_run(&mut self, worker: WorkerKey, task: TaskName, number: u64) {
         if self.is_unread(task) {
             let worker = &mut self.workers[worker];
             worker.unread.insert(task.step.job);
@@ -246,7 +246,7 @@
 
     /// What a worker lists long after it has confirmed a stop outweighs that: the run goes
     /// on, so the stop is repeated as if it had not been confirmed.
-    fn doubt_stop(&mut self, key: RunKey, order: &LookOrder) {
+    fn clear_stale_stop_confirmation(&mut self, key: RunKey, order: &LookOrder) {
         if let Some(stop) = &mut self.runs[key].stop
             && stop.sent + tuning::STOP_LIMIT < order.sent
         {
@@ -272,7 +272,7 @@
         }
         self.counts.adopted += 1;
         tracing::info!(request = %entry.task.step.job, task = %entry.task, run = entry.number, worker = self.workers[worker].entry.life.id, "run taken over");
-        self.job_begins(job_key);
+        self.mark_job_running(job_key);
         Some(self.add_run(Run {
             step: step_key,
             index: entry.task.index,
@@ -293,8 +293,8 @@
         }))
     }
 
-    fn take_progress(&mut self, key: RunKey, entry: &RunningEntry, clock: Millis, now: Millis) {
-        self.has_survived(key);
+    fn update_progress(&mut self, key: RunKey, entry: &RunningEntry, clock: Millis, now: Millis) {
+        self.note_survival(key);
         let run = &mut self.runs[key];
         run.has_begun(self.workers[run.worker].list_heard, now);
         run.note_progress(entry.percent, clock, now);
@@ -302,8 +302,8 @@
         if !entry.saved.is_empty() && self.steps[step].tasks[index as usize].saved != entry.saved {
             self.save_progress(step, index, &entry.saved);
         }
-        self.job_begins(self.steps[step].job);
-        self.prove_run(key, now);
+        self.mark_job_running(self.steps[step].job);
+        self.clear_losses_by_age(key, now);
         self.judge_progress(key, now);
     }
 
@@ -355,21 +355,21 @@
                 // Its life goes on without it.
                 self.forget_loss(place);
             }
-            self.begins_no_more(run_key, now);
-            self.break_gang(step, now, "a member of the gang is not there");
+            self.start_not_found(run_key, now);
+            self.stop_gang(step, now, "a member of the gang is not there");
         }
     }
 }
 
 /// Tells whether a life may have a lease that was meant for the clock of a former one, of this owner
 /// or another: a late start gives it, also one that is refused.
-fn may_have_foreign_lease(worker: &Worker, look: &Look) -> bool {
+fn may_have_former_life_lease(worker: &Worker, look: &Look) -> bool {
     let is_young = look.born.is_some() && look.clock <= FormerLives::LASTS;
     is_young || worker.former.epochs() > 0
 }
 
 /// Tells whether a life that has not answered before has forgotten ends: they are numbered from one.
-fn misses_ends(worker: &Worker, look: &Look) -> bool {
+fn has_discarded_ends(worker: &Worker, look: &Look) -> bool {
     let is_next = |end: &EndEntry| end.place <= worker.seen_end + 1;
     let missing = worker.former.epochs() > 0 && !look.ended.first().is_none_or(is_next);
     if missing {
--- a/src/cell/lost.rs
+++ b/src/cell/lost.rs
@@ -23,7 +23,7 @@
 
 /// A life that is over and stays in the roster.
 #[derive(Debug)]
-pub(super) struct KeptLife {
+pub(super) struct EndedLife {
     /// How it stands there unless another life of its id is in use.
     entry: RosterEntry,
     /// When it was found to be over.
@@ -62,7 +62,7 @@
                 kept.noted = noted;
                 kept.forgets |= forgets;
             }
-            None => self.lost.push(KeptLife {
+            None => self.lost.push(EndedLife {
                 entry,
                 noted,
                 forgets,
@@ -98,7 +98,7 @@
 
     /// Lives of which nothing is noted but what is recorded once all that has changed is.  Jobs that
     /// are not read yet have no mark to be recorded.
-    pub(super) fn told_lives(&self) -> Vec<Sequence> {
+    pub(super) fn lives_to_release(&self) -> Vec<Sequence> {
         let told = self
             .lost
             .iter()
@@ -107,8 +107,8 @@
     }
 
     /// What is noted of these lives is durable, so they leave the roster.
-    pub(super) fn lives_are_told(&mut self, told: &[Sequence]) {
-        let is_told = |kept: &mut KeptLife| told.contains(&kept.noted);
+    pub(super) fn release_lives(&mut self, told: &[Sequence]) {
+        let is_told = |kept: &mut EndedLife| told.contains(&kept.noted);
         for kept in self.lost.extract_if(.., is_told) {
             self.roster_changes.insert(kept.entry.worker.life.id);
             self.roster += 1;
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -64,18 +64,18 @@
     pub fn list_worker(&mut self, entry: WorkerEntry, now: Millis) {
         match self.worker_ids.get(&entry.life.id) {
             Some(&key) if self.workers[key].entry.life.differs_from(entry.life.born) => {
-                self.expect_life(key, entry);
+                self.note_listed_life(key, entry);
                 self.unpark_unless_idle(key, now);
             }
             Some(&key) => {
-                self.renew_entry(key, entry, now);
+                self.update_entry(key, entry, now);
                 self.unpark_unless_idle(key, now);
             }
             None => self.insert_worker(entry, now),
         }
     }
 
-    fn renew_entry(&mut self, key: WorkerKey, entry: WorkerEntry, now: Millis) {
+    fn update_entry(&mut self, key: WorkerKey, entry: WorkerEntry, now: Millis) {
         let worker = &mut self.workers[key];
         if entry.leaving.is_some() && worker.leaving_since.is_none() {
             worker.leaving_since = Some(now);
@@ -103,7 +103,7 @@
 
     /// The platform lists another life under the id of a worker.  The entry may be older than what
     /// the worker itself says, so only its answer decides; it is looked at where the entry says.
-    fn expect_life(&mut self, key: WorkerKey, entry: WorkerEntry) {
+    fn note_listed_life(&mut self, key: WorkerKey, entry: WorkerEntry) {
         let listed = self.next_sequence();
         let worker = &mut self.workers[key];
         worker.unlisted_since = None;
@@ -131,7 +131,7 @@
     }
 
     /// Tells whether the answer to a look is another life's; if so, takes in that there is one.
-    pub(super) fn is_of_another_life(
+    pub(super) fn detect_other_life(
         &mut self,
         order: &LookOrder,
         look: &Look,
@@ -158,7 +158,7 @@
         );
         self.counts.other_lives += 1;
         if worker.is_blank() {
-            self.rename_life(key, look.born, now);
+            self.change_blank_life(key, look.born, now);
             return false;
         }
         self.replace_life(order, look, now);
@@ -166,7 +166,7 @@
     }
 
     /// A worker that has not answered us before is another life than was recorded.
-    fn rename_life(&mut self, key: WorkerKey, born: Option<Millis>, now: Millis) {
+    fn change_blank_life(&mut self, key: WorkerKey, born: Option<Millis>, now: Millis) {
         let listed = self.next_sequence();
         let worker = &mut self.workers[key];
         worker.listed = listed;
@@ -214,7 +214,7 @@
             .insert(former.entry.life.id.clone(), next_key);
         self.confirm_crash(&former.entry.life, &open, now);
         // A look that is still on its way to the former life may make this one forget them.
-        self.take_ends(next_key, &look.ended, now);
+        self.process_ends(next_key, &look.ended, now);
     }
 
     /// The runs that the new life lists, and those whose start it may have carried out or may
@@ -290,7 +290,7 @@
         );
         let crashed = reason != LostBy::Silence;
         let awaited = if crashed {
-            self.await_starts(key)
+            self.await_unanswered_starts(key)
         } else {
             Vec::new()
         };
@@ -325,7 +325,7 @@
     }
 
     /// The starts on a worker whose answer is still awaited; it may say that they never began.
-    fn await_starts(&mut self, key: WorkerKey) -> Vec<RunKey> {
+    fn await_unanswered_starts(&mut self, key: WorkerKey) -> Vec<RunKey> {
         let runs = self.workers[key].runs.iter().copied();
         let sent = runs.filter(|&run| self.runs[run].phase == Phase::Sent);
         let sent: Vec<RunKey> = sent.collect();
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -165,7 +165,7 @@
     /// What must be known of the lives of a worker that is not there, by its id.
     former_lives: IndexMap<String, FormerLives>,
     /// Runs that may have crashed a life of a worker.
-    doubts: IndexMap<Life, crash::Doubt>,
+    doubts: IndexMap<Life, crash::PendingLosses>,
     /// Starts whose worker was lost before it was known whether it had carried them out.  Their runs
     /// may be gone, and others have their places.
     awaited: BTreeMap<RunKey, crash::LossKey>,
@@ -174,7 +174,7 @@
     /// Starts of jobs that a former owner knew may be forgotten.
     forgets_starts: bool,
     /// Lives that are over and stay in the roster until what is noted of them is recorded.
-    lost: Vec<lost::KeptLife>,
+    lost: Vec<lost::EndedLife>,
     incomplete: bool,
     /// Jobs that run at set times and have not ended.
     scheduled: Vec<JobKey>,
@@ -447,13 +447,13 @@
         for key in due.map(|(key, _)| key).collect::<Vec<_>>() {
             self.tick_worker(key, now);
         }
-        self.settle_doubts(now);
+        self.resolve_pending_losses(now);
         self.repeat_stops(now);
     }
 
     fn tick_worker(&mut self, key: WorkerKey, now: Millis) {
         self.move_leaving(key, now);
-        self.suspect_silent(key, now);
+        self.note_suspects_of_silent(key, now);
         let worker = &self.workers[key];
         if !worker.is_silent() || now <= worker.lease_end {
             return;
--- a/src/cell/plan.rs
+++ b/src/cell/plan.rs
@@ -50,7 +50,7 @@
     pub(super) fn plan(&mut self, key: RunKey) {
         self.counts.planned += 1;
         self.planned.push(key);
-        self.note_plan(key);
+        self.note_planned_start(key);
     }
 
     /// How many more starts of a step may be recorded first: a job's row is bounded.
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -99,7 +99,7 @@
             batch.rows.push((key, job.id, progress));
         }
         if dirty.len() <= most {
-            batch.lost = self.told_lives();
+            batch.lost = self.lives_to_release();
             batch.ends = self
                 .workers
                 .iter()
@@ -157,7 +157,7 @@
             job.kept_ends.retain(|end| !progress.holds(end));
             for task in progress.tasks.iter().filter(|task| !task.losses.is_empty()) {
                 if let Some((step, index)) = self.find_place(key, task.place) {
-                    self.losses_are_recorded(step, index, &task.losses);
+                    self.mark_losses_recorded(step, index, &task.losses);
                 }
             }
             if progress.state.is_final() {
@@ -165,7 +165,7 @@
                 self.close_job(key, now);
             }
         }
-        self.lives_are_told(&batch.lost);
+        self.release_lives(&batch.lost);
         for (key, place) in batch.ends {
             if let Some(worker) = self.workers.get_mut(key) {
                 worker.recorded_end = worker.recorded_end.max(place);
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -126,7 +126,7 @@
                 if self.jobs[job].state == JobState::Queued {
                     self.note_wait(job, Waited::FirstStart, now);
                 }
-                self.job_begins(job);
+                self.mark_job_running(job);
             }
             StartOutcome::Unanswered => {
                 if run.phase == Phase::Sent {
@@ -137,7 +137,7 @@
                     self.workers[worker_key].fall_silent(now);
                 }
                 let step = self.runs[key].step;
-                self.break_gang(step, now, "a start of the gang was not answered");
+                self.stop_gang(step, now, "a start of the gang was not answered");
                 self.stop_run(key, now, "start was not answered");
             }
             StartOutcome::Refused(refusal) => self.start_refused(key, refusal, now),
@@ -162,13 +162,13 @@
         self.awaited.remove(&key);
         self.forget_loss(place);
         if is_present {
-            self.worker_refuses(worker_key, step_key, index, refusal, now);
+            self.handle_refusal(worker_key, step_key, index, refusal, now);
         }
-        self.break_gang(step_key, now, "a member of the gang was refused");
+        self.stop_gang(step_key, now, "a member of the gang was refused");
     }
 
     /// A worker has refused a start that was meant for its present life.
-    fn worker_refuses(
+    fn handle_refusal(
         &mut self,
         worker_key: WorkerKey,
         step_key: StepKey,
@@ -201,7 +201,7 @@
         }
     }
 
-    pub(super) fn job_begins(&mut self, key: JobKey) {
+    pub(super) fn mark_job_running(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         if job.state == JobState::Queued {
             job.state = JobState::Running;
@@ -234,7 +234,7 @@
     }
 
     /// One member of a gang cannot go on, so none can.  Other steps are left alone.
-    pub(super) fn break_gang(&mut self, key: StepKey, now: Millis, reason: &'static str) {
+    pub(super) fn stop_gang(&mut self, key: StepKey, now: Millis, reason: &'static str) {
         if self.steps[key].step().gang {
             self.stop_step(key, now, reason);
         }
@@ -285,7 +285,7 @@
 
     /// Takes in the end of a run of ours.
     pub(super) fn run_ended(&mut self, key: RunKey, end: &EndEntry, now: Millis) {
-        self.has_survived(key);
+        self.note_survival(key);
         let Some(run) = self.remove_run(key) else {
             return;
         };
@@ -304,9 +304,9 @@
             EndKind::Failed => self.task_failed(run.step, run.index, end.number, run.worker, now),
             EndKind::Alone | EndKind::Broken | EndKind::Stopped | EndKind::Lapsed => {}
         }
-        self.judge_worker(run.worker, end.how, now);
+        self.update_health(run.worker, end.how, now);
         if end.how != EndKind::Done {
-            self.break_gang(run.step, now, "a member of the gang has ended");
+            self.stop_gang(run.step, now, "a member of the gang has ended");
         }
     }
 
@@ -393,13 +393,13 @@
     }
 
     /// A failure of a run that this owner did not start counts as well.
-    pub(super) fn count_former_failure(&mut self, key: StepKey, end: &EndEntry, now: Millis) {
+    pub(super) fn count_inherited_failure(&mut self, key: StepKey, end: &EndEntry, now: Millis) {
         let nowhere = WorkerKey::default();
         self.task_failed(key, end.task.index, end.number, nowhere, now);
     }
 
     /// Learns from an end how far the worker can be trusted.
-    fn judge_worker(&mut self, key: WorkerKey, how: EndKind, now: Millis) {
+    fn update_health(&mut self, key: WorkerKey, how: EndKind, now: Millis) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
@@ -441,12 +441,12 @@
                 continue;
             };
             if run.sent_to != key {
-                self.begins_no_more(run_key, now);
+                self.start_not_found(run_key, now);
             }
             // Another run is blamed for what became of the worker.
             let is_this = |loss: &Loss| loss.planned && loss.run == run.number;
             self.forget_losses(run.step, run.index, is_this);
-            self.break_gang(run.step, now, "a member of the gang is lost");
+            self.stop_gang(run.step, now, "a member of the gang is lost");
         }
         if self.workers[key].has_unread_runs {
             self.keep_lost_life(key);
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -184,7 +184,7 @@
         tasks
             .filter(move |(_, task)| !task.done && task.paused_until <= now)
             .filter(move |(_, task)| task.runs.is_empty() || self.wants_copy(key, &task.runs))
-            .filter(|(_, task)| task.may_be_risked())
+            .filter(|(_, task)| task.losses_allow_start())
             .map(|(index, _)| index as u32)
     }
 
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -252,7 +252,7 @@
                 continue;
             };
             match worker.look(&order, self.now) {
-                Ok(look) => self.cell.looked(&order, &look, self.now),
+                Ok(look) => self.cell.look_answered(&order, &look, self.now),
                 Err(failure) => self.cell.look_failed(key, failure, self.now),
             }
         }
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -145,7 +145,7 @@
     cell.await_list();
     cell.await_evacuated_halls();
     if let Some(lapses) = recording::read_lapses(&former.0) {
-        cell.expect_lapses(&lapses, now);
+        cell.apply_remaining_leases(&lapses, now);
     }
     let mut recorded: HashMap<String, Progress> = HashMap::new();
     for row in &progress {
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -162,7 +162,7 @@
         match answer {
             Ok(look) => {
                 let news = !look.ended.is_empty() || order.due.is_none();
-                self.cell().looked(&order, &look, now);
+                self.cell().look_answered(&order, &look, now);
                 if news {
                     self.record.notify_one();
                 }
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::cell::lapse::Lapses;
+use crate::cell::lapse::RemainingLeases;
 use crate::cell::record::Batch;
 use crate::node::engine::Engine;
 use crate::node::roster_rows::RosterWrite;
@@ -280,7 +280,7 @@
 }
 
 /// Reads what the former owner knew of silent workers from the rows of a cell, if it told.
-pub fn read_lapses(rows: &[Row]) -> Option<Lapses> {
+pub fn read_lapses(rows: &[Row]) -> Option<RemainingLeases> {
     let row = rows.iter().find(|row| row.key == LAPSES_KEY)?;
     match serde_json::from_str(&row.value) {
         Ok(lapses) => Some(lapses),
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -741,7 +741,7 @@
     bench.look_at_all();
 
     // Act.
-    bench.cell.looked(&order, &overtaken, bench.now);
+    bench.cell.look_answered(&order, &overtaken, bench.now);
 
     // Assert: the task starts again, since nothing of it runs.
     assert_eq!(bench.cell.counts().adopted, 0);
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -298,7 +298,7 @@
     pub fn hear(&mut self, key: WorkerKey, look: &Look) {
         let order = self.cell.look_order(key, self.now);
         let order = order.expect("a known worker");
-        self.cell.looked(&order, look, self.now);
+        self.cell.look_answered(&order, look, self.now);
     }
 
     /// Looks at one worker a moment later, which lists this.
--- a/tests/crashing_tasks.rs
+++ b/tests/crashing_tasks.rs
@@ -209,7 +209,7 @@
                 None => Err(LookFailure::Unanswered),
             };
             match answer {
-                Ok(look) => self.cell.looked(&order, &look, self.now),
+                Ok(look) => self.cell.look_answered(&order, &look, self.now),
                 Err(failure) => self.cell.look_failed(key, failure, self.now),
             }
         }
--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -135,7 +135,7 @@
                 running: Vec::new(),
                 ended: Vec::new(),
             };
-            self.cell.looked(&order, &look, self.now);
+            self.cell.look_answered(&order, &look, self.now);
         }
         self.cell.tick(self.now);
     }
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -29,7 +29,7 @@
 
 use cell_core::{Bench, configuration, job, queue, starts, step, worker};
 use crossweir::cell::Cell;
-use crossweir::cell::lapse::Lapses;
+use crossweir::cell::lapse::RemainingLeases;
 use crossweir::cell::order::{
     Look, LookFailure, LookOrder, Refusal, StartOrder, StartOutcome, StopOrder,
 };
@@ -412,7 +412,7 @@
 fn only_the_next_owner_relies_on_what_was_told() {
     // Arrange: a worker on which a former owner of epoch 3 left something for 100 ms.
     let q = queue("q", 0);
-    let lapses = Lapses {
+    let lapses = RemainingLeases {
         epoch: 3,
         within: [(worker(0).life.id, 100)].into(),
     };
@@ -426,7 +426,7 @@
             lost: None,
         };
         cell.list_former_workers(vec![left(0), left(1)], 1_000);
-        cell.expect_lapses(&lapses, 1_000);
+        cell.apply_remaining_leases(&lapses, 1_000);
         cell.accept(&row, None, true, 1_000);
         let mut bench = Bench::with(cell, 1_000);
         let other = bench.worker(1);
--- a/tests/late_entries.rs
+++ b/tests/late_entries.rs
@@ -74,7 +74,7 @@
         clock: bench.now,
         ..Look::default()
     };
-    bench.cell.looked(order, &look, bench.now);
+    bench.cell.look_answered(order, &look, bench.now);
 }
 
 /// The former life is lost, the next one is listed, answers and gets a task.
--- a/tests/late_lists.rs
+++ b/tests/late_lists.rs
@@ -30,7 +30,7 @@
 
 /// A list arrives.
 fn arrives(bench: &mut Bench, sent: LookOrder, list: &Look) {
-    bench.cell.looked(&sent, list, bench.now);
+    bench.cell.look_answered(&sent, list, bench.now);
 }
 
 /// The answer to a start arrives.
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -241,7 +241,7 @@
             None => Err(LookFailure::Refused(Refusal::NotSent)),
         };
         match answer {
-            Ok(look) => self.cell.looked(order, &look, now),
+            Ok(look) => self.cell.look_answered(order, &look, now),
             Err(failure) => self.cell.look_failed(order.to.worker, failure, now),
         }
     }
--- a/tests/outlived_starts.rs
+++ b/tests/outlived_starts.rs
@@ -59,7 +59,7 @@
         clock: bench.now,
         ..Look::default()
     };
-    bench.cell.looked(&held, &look, bench.now);
+    bench.cell.look_answered(&held, &look, bench.now);
     lose(&mut bench, &second);
     bench.record();
 
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -183,7 +183,7 @@
         }
         let has_ends = matches!(&answer, Ok(list) if !list.ended.is_empty());
         match answer {
-            Ok(list) => cell.looked(order, &list, self.now),
+            Ok(list) => cell.look_answered(order, &list, self.now),
             Err(failure) => cell.look_failed(order.to.worker, failure, self.now),
         }
         if has_ends {
--- a/tests/told_lapses.rs
+++ b/tests/told_lapses.rs
@@ -41,7 +41,7 @@
     next.set_lanes(&[true, true]);
     next.list_former_workers(roster, bench.now);
     next.list_workers(vec![worker(0), worker(1)], bench.now);
-    next.expect_lapses(&lapses, bench.now);
+    next.apply_remaining_leases(&lapses, bench.now);
     next.accept(&row, None, true, bench.now);
     let mut next = Bench::with(next, bench.now);
     next.now += 10;
