--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -40,7 +40,7 @@
         source = match source {
             Source::Nothing => follow_whole(&shared).await,
             Source::Operator(after) if is_told(&shared) => {
-                shared.hall_rows().forget();
+                shared.hall_rows().stop_following();
                 Source::Owner(after)
             }
             Source::Operator(after) => follow_changes(&shared, after).await,
@@ -81,7 +81,7 @@
     match reply {
         Ok(StoreReply::Rows { rows, version, .. }) => {
             take_rows(shared, &rows);
-            halls::take_changes(shared, &rows);
+            halls::apply_changes(shared, &rows);
             return Source::Operator(version.max(after));
         }
         Ok(StoreReply::Forgotten) => {}
@@ -118,7 +118,7 @@
         let is_other = owner
             .address
             .is_some_and(|address| address != shared.address);
-        is_other && owner.unheard(shared.now()) < TOLD_WITHIN
+        is_other && owner.silence(shared.now()) < TOLD_WITHIN
     };
     is_heard && shared.engine().is_none() && !shared.members().watches(&shared.name)
 }
--- a/src/node/confirming.rs
+++ b/src/node/confirming.rs
@@ -28,7 +28,7 @@
 const HEDGE_AFTER: Duration = Duration::from_millis(150);
 /// A node that has answered a call no older than this that it does not reach the store need
 /// not be asked: heartbeats come to it that often, and an answer may take some time.
-const TOLD_LATELY: Millis = heartbeat::RELAXED + heartbeat::BEAT_TIMEOUT;
+const RECENT_ANSWER: Millis = heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
 /// How long one read of the row of ownership may take: 400 ms from a slow store.
 const READ_LIMIT: Millis = 700;
 
@@ -88,7 +88,7 @@
         match self.verdict(words) {
             Verdict::Holds if is_read(words) => self.confirm(sent),
             // Some of the words may be as old as that.
-            Verdict::Holds => self.confirm_for_now(sent.saturating_sub(TOLD_LATELY)),
+            Verdict::Holds => self.confirm_for_now(sent.saturating_sub(RECENT_ANSWER)),
             Verdict::Lost => self.retire("the row of ownership names another"),
             Verdict::Unknown => tracing::info!(
                 ?words,
@@ -115,7 +115,7 @@
         if rows.iter().any(|row| !is_ours(row)) {
             return Verdict::Lost;
         }
-        let now_known = self.known_nodes();
+        let now_known = self.node_count();
         let known = now_known.max(self.known.fetch_max(now_known, Ordering::Relaxed));
         let away = words.iter().filter(|word| **word == Word::Away).count();
         if !rows.is_empty() || away * 2 > known {
@@ -125,7 +125,7 @@
     }
 
     /// How many nodes this one knows, itself among them.
-    pub(super) fn known_nodes(&self) -> usize {
+    pub(super) fn node_count(&self) -> usize {
         self.shared.members().iter().count() + 1
     }
 
@@ -157,7 +157,9 @@
             .map(|(_, member)| member)
             .filter(|m| m.was_heard(WITNESS_WINDOW, sent))
             .filter(|m| m.epoch <= self.epoch)
-            .partition(|m| m.away_asked > 0 && sent.saturating_sub(m.away_asked) < TOLD_LATELY);
+            .partition(|m| {
+                m.no_store_asked > 0 && sent.saturating_sub(m.no_store_asked) < RECENT_ANSWER
+            });
         (away.len(), asked.iter().map(|m| m.address).collect())
     }
 }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -56,7 +56,7 @@
 /// after 4 ms, or after 0.5 s from a store that is 77 times slower.
 const CLAIM_LOOK: Duration = Duration::from_millis(200);
 /// How often a node that claims the cell tells of it.
-const TELL: Duration = Duration::from_millis(owner::BEAT);
+const TELL: Duration = Duration::from_millis(owner::HEARTBEAT_INTERVAL);
 /// A claim that takes longer has come to nothing: others try as well.
 const CLAIM_LIMIT: Millis = 2_500;
 /// So many samples are asked one after the other while none of them answers: the nodes that
@@ -112,7 +112,9 @@
     let now = shared.now();
     for row in &rows {
         match serde_json::from_str(&row.value) {
-            Ok(node) => shared.members().mention(&row.key, node, Source::Sure, now),
+            Ok(node) => shared
+                .members()
+                .add(&row.key, node, Source::Authoritative, now),
             Err(err) => tracing::warn!(%err, name = row.key, "a node's row cannot be read"),
         }
     }
@@ -187,7 +189,7 @@
     match shared.peers.call(address, call, timeout).await {
         Ok(NodeReply::Beat(beat)) => {
             shared.hear(&beat);
-            shared.members().note_answer(&beat.name, asked);
+            shared.members().note_store_answer(&beat.name, asked);
             Some(*beat)
         }
         _ => None,
@@ -318,7 +320,7 @@
     if shared.members().watches(&shared.name) {
         return Duration::ZERO;
     }
-    Duration::from_millis(members::spread(&shared.name) % OTHERS_SPREAD)
+    Duration::from_millis(members::name_hash(&shared.name) % OTHERS_SPREAD)
 }
 
 /// Waits, and tells whether nobody has been heard as the owner meanwhile.  One that has come
@@ -430,7 +432,7 @@
 fn note_claim(shared: &Shared, row: &OwnerRow) {
     let now = shared.now();
     let address = row.address.parse().ok();
-    shared.owner().expect(row.epoch, address, now);
+    shared.owner().await_claimant(row.epoch, address, now);
 }
 
 /// What became of one write of a claim.
@@ -510,7 +512,9 @@
 async fn become_owner(shared: &Arc<Shared>, epoch: u64, version: Version) {
     shared.metrics.event("claimed");
     let now = shared.now();
-    shared.owner().hear(epoch, Some(shared.address), now);
+    shared
+        .owner()
+        .note_heartbeat(epoch, Some(shared.address), now);
     // Nodes that started a moment ago may have told nobody but the store so far.
     tokio::spawn({
         let shared = Arc::clone(shared);
@@ -528,7 +532,7 @@
         }
         Err(err) => {
             tracing::warn!(%err, epoch, "the cell cannot be loaded");
-            shared.owner().forget();
+            shared.owner().clear();
         }
     }
 }
@@ -560,7 +564,7 @@
     {
         let mut owner = shared.owner();
         if owner.address == Some(shared.address) {
-            owner.forget();
+            owner.clear();
         }
     }
     tell_of_end(shared, owned).await;
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -21,7 +21,7 @@
 use crate::node::heartbeat;
 use crate::node::loading;
 use crate::node::pace::{self, Rounds};
-use crate::node::recording::MOST_JOBS;
+use crate::node::recording::MAX_JOBS;
 use crate::node::roster_rows::RosterRows;
 use crate::node::shared::Shared;
 use crate::node::survey::Survey;
@@ -33,7 +33,7 @@
 /// How often it is logged what waits.
 const SURVEY: Millis = 1_000;
 /// A peer heard within this time bears witness: two heartbeats, of which one may be late.
-pub(super) const WITNESS_WINDOW: Millis = 2 * heartbeat::RELAXED + heartbeat::BEAT_TIMEOUT;
+pub(super) const WITNESS_WINDOW: Millis = 2 * heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
 /// How long a question about a job waits for its end: three times what passes until an end
 /// is known and recorded.
 const END_WAIT: Duration = Duration::from_millis(120);
@@ -101,7 +101,7 @@
             recorded: Notify::new(),
             row: tokio::sync::Mutex::new((version, 0)),
             roster_rows: Mutex::new(loaded.roster),
-            most_jobs: AtomicUsize::new(MOST_JOBS),
+            most_jobs: AtomicUsize::new(MAX_JOBS),
             roster_recorded: AtomicU64::new(0),
             retired: AtomicBool::new(false),
             releasing: AtomicBool::new(false),
@@ -167,7 +167,7 @@
 
     /// The row of ownership was seen to be ours by a call that was sent at `sent`.
     pub(super) fn confirm(&self, sent: Millis) {
-        self.known.store(self.known_nodes(), Ordering::Relaxed);
+        self.known.store(self.node_count(), Ordering::Relaxed);
         self.confirmed.fetch_max(sent, Ordering::Relaxed);
     }
 
--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -13,11 +13,11 @@
 /// How often the list of workers is read: leaving workers must be known within 2 s.
 const WORKERS_POLL: Duration = Duration::from_millis(400);
 /// After an answer with so many changes more of them may wait.
-const LONG_ANSWER: usize = 100;
+const FULL_ANSWER_ROWS: usize = 100;
 /// How often jobs are looked for of which no node told: those of nodes that died.
 const JOBS_POLL: Duration = Duration::from_millis(1_000);
 /// The pause after a failed call to the store.
-const STORE_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 impl Engine {
     pub(super) async fn workers_loop(self: Arc<Self>) {
@@ -43,9 +43,9 @@
             match self.shared.store(call).await {
                 Ok(StoreReply::Rows { rows, version, .. }) => {
                     after = version.max(after);
-                    self.take_worker_rows(&rows);
+                    self.apply_worker_changes(&rows);
                     self.look_after_workers();
-                    if rows.len() < LONG_ANSWER {
+                    if rows.len() < FULL_ANSWER_ROWS {
                         self.workers_read.store(asked, Ordering::Relaxed);
                         return after;
                     }
@@ -55,7 +55,7 @@
                     return self.list_all_workers().await;
                 }
                 Err(_) => {
-                    tokio::time::sleep(STORE_PAUSE).await;
+                    tokio::time::sleep(RETRY_PAUSE).await;
                     return after;
                 }
             }
@@ -69,23 +69,23 @@
             match loading::list(&self.shared, Table::Workers, "").await {
                 Ok((rows, version)) => {
                     self.workers_read.store(asked, Ordering::Relaxed);
-                    self.take_worker_list(&rows);
+                    self.apply_worker_list(&rows);
                     self.look_after_workers();
                     self.wake.notify_one();
                     return version;
                 }
                 Err(err) => tracing::info!(%err, "workers cannot be listed"),
             }
-            tokio::time::sleep(STORE_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    fn take_worker_list(&self, rows: &[Row]) {
+    fn apply_worker_list(&self, rows: &[Row]) {
         let now = self.shared.now();
         let mut entries = Vec::with_capacity(rows.len());
         let mut unread = Vec::new();
         for row in rows {
-            match loading::worker_entry(&self.shared, row) {
+            match loading::parse_worker_entry(&self.shared, row) {
                 Some(entry) => entries.push(entry),
                 None => unread.push(&row.key),
             }
@@ -97,13 +97,13 @@
         }
     }
 
-    fn take_worker_rows(&self, rows: &[Row]) {
+    fn apply_worker_changes(&self, rows: &[Row]) {
         let now = self.shared.now();
         let mut cell = self.cell();
         for row in rows {
             if row.dropped {
                 cell.unlist_worker(&row.key, now);
-            } else if let Some(entry) = loading::worker_entry(&self.shared, row) {
+            } else if let Some(entry) = loading::parse_worker_entry(&self.shared, row) {
                 cell.list_worker(entry, now);
             } else {
                 cell.distrust_worker(&row.key, now);
@@ -121,11 +121,11 @@
             tokio::time::sleep(JOBS_POLL).await;
             if !unread.is_empty() {
                 let missing = loading::list_job_partitions(&self.shared, &unread).await;
-                self.take_job_rows(&missing.rows);
+                self.apply_job_rows(&missing.rows);
                 cleaner.note(&missing.rows);
                 unread = missing.unread;
             }
-            let former_is_over = self.former_owner_is_over();
+            let former_owner_stopped = self.has_former_owner_stopped();
             let call = StoreCall::Changes {
                 table: Table::Jobs,
                 after,
@@ -134,21 +134,21 @@
             match self.shared.store(call).await {
                 Ok(StoreReply::Rows { rows, version, .. }) => {
                     after = version.max(after);
-                    self.take_job_rows(&rows);
+                    self.apply_job_rows(&rows);
                     cleaner.note(&rows);
                     self.cell()
-                        .set_incomplete(!(former_is_over && unread.is_empty()));
+                        .set_incomplete(!(former_owner_stopped && unread.is_empty()));
                 }
                 Ok(_) => {
                     tracing::info!(after, "the store has forgotten changes of jobs");
                     let jobs = loading::list_jobs(&self.shared).await;
-                    self.take_job_rows(&jobs.rows);
+                    self.apply_job_rows(&jobs.rows);
                     cleaner.note(&jobs.rows);
                     unread = jobs.unread;
                     self.cell().set_incomplete(true);
                     after = jobs.version;
                 }
-                Err(_) => tokio::time::sleep(STORE_PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
             }
             cleaner.clean(&self).await;
         }
@@ -156,17 +156,17 @@
 
     /// Tells whether the former owner gives no orders any more.  It may be told of jobs until
     /// then, and what it ran of them is found before their rows.
-    fn former_owner_is_over(&self) -> bool {
+    fn has_former_owner_stopped(&self) -> bool {
         self.shared.now() > self.since + tuning::OWNER_WINDOW
     }
 
-    fn take_job_rows(&self, rows: &[Row]) {
+    fn apply_job_rows(&self, rows: &[Row]) {
         for row in rows.iter().filter(|row| !row.dropped) {
             // Most jobs were told of by the node that took them in.
             if row.key.parse().is_ok_and(|id| self.cell().knows(id)) {
                 continue;
             }
-            let Some(job) = loading::job_row(&row.value) else {
+            let Some(job) = loading::parse_job_row(&row.value) else {
                 continue;
             };
             let now = self.shared.now();
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -14,7 +14,7 @@
 use crate::clock::Millis;
 use crate::node::intake::{Intake, Submitted};
 use crate::node::loading;
-use crate::node::owner_calls::{OWNER_TIMEOUT, ask_owner, serve_as_owner, tell_owner};
+use crate::node::owner_calls::{OWNER_TIMEOUT, ask_owner, notify_owner, serve_as_owner};
 use crate::node::shared::{PARTITION, Shared};
 use crate::queue::Queue;
 use crate::rpc::node::{NodeCall, NodeReply, NodeService, Question};
@@ -139,7 +139,7 @@
             .wait("accept", now.saturating_sub(began));
         if outcome == Submitted::Accepted {
             self.shared.metrics.outcome("accepted");
-            tokio::spawn(tell_owner(Arc::clone(&self.shared), row));
+            tokio::spawn(notify_owner(Arc::clone(&self.shared), row));
         }
         outcome
     }
@@ -256,7 +256,7 @@
                     true => Told::State(JobState::Queued),
                     false => Told::Unknown,
                 };
-                tokio::spawn(tell_owner(Arc::clone(&self.shared), row));
+                tokio::spawn(notify_owner(Arc::clone(&self.shared), row));
                 told
             }
             None => Told::Unknown,
@@ -301,7 +301,7 @@
             Some(engine) => engine.pending(),
             None => {
                 let owner = self.shared.owner();
-                let age = owner.unheard(self.shared.now());
+                let age = owner.silence(self.shared.now());
                 if owner.address.is_none() || age > PENDING_VALID {
                     return None;
                 }
--- a/src/node/halls.rs
+++ b/src/node/halls.rs
@@ -28,11 +28,11 @@
     }
 
     /// What the rows say is not followed any more, so it may change unheard.
-    pub fn forget(&mut self) {
+    pub fn stop_following(&mut self) {
         self.evacuated = None;
     }
 
-    fn renew(&mut self) {
+    fn refresh(&mut self) {
         let halls = self.known.halls();
         if self.evacuated.as_deref() != Some(&halls) {
             self.evacuated = Some(Arc::new(halls));
@@ -40,7 +40,7 @@
     }
 
     /// A row that cannot be read changes nothing: the hall stays as it was.
-    fn tell_unreadable(&mut self, shared: &Shared, rows: &[&Row]) {
+    fn report_unreadable(&mut self, shared: &Shared, rows: &[&Row]) {
         let Some(newest) = rows.iter().max_by_key(|row| row.version) else {
             return;
         };
@@ -69,21 +69,21 @@
     let listed: Halls = listed.map(str::to_owned).collect();
     let mut halls = shared.hall_rows();
     halls.known.end_unlisted(&listed, version);
-    take_rows(shared, &mut halls, &rows);
-    halls.renew();
+    apply_rows(shared, &mut halls, &rows);
+    halls.refresh();
     Ok(())
 }
 
 /// Takes in rows that have changed; other rows of the operator are passed over.
-pub fn take_changes(shared: &Shared, rows: &[Row]) {
+pub fn apply_changes(shared: &Shared, rows: &[Row]) {
     let mut halls = shared.hall_rows();
-    take_rows(shared, &mut halls, rows);
+    apply_rows(shared, &mut halls, rows);
     if halls.evacuated.is_some() {
-        halls.renew();
+        halls.refresh();
     }
 }
 
-fn take_rows(shared: &Shared, halls: &mut HallRows, rows: &[Row]) {
+fn apply_rows(shared: &Shared, halls: &mut HallRows, rows: &[Row]) {
     let mut unreadable = Vec::new();
     for row in rows {
         let Some(hall) = row.key.strip_prefix(shared.decoder.evacuation_prefix()) else {
@@ -97,5 +97,5 @@
             halls.known.note(hall, row.version, true);
         }
     }
-    halls.tell_unreadable(shared, &unreadable);
+    halls.report_unreadable(shared, &unreadable);
 }
--- a/src/node/heartbeat.rs
+++ b/src/node/heartbeat.rs
@@ -19,17 +19,17 @@
 
 /// How often the nodes that watch the owner closely hear of it: a heartbeat costs its
 /// receiver some tens of microseconds, and three may be missed before the owner is suspected.
-pub const WATCHED: Millis = owner::BEAT;
+pub const WATCHER_INTERVAL: Millis = owner::HEARTBEAT_INTERVAL;
 /// How often all others do: callers accept counts of waiting jobs that are 2 s old, and a
 /// node that is cut off from the store learns of a newer configuration within 2 s.
-pub const RELAXED: Millis = 500;
+pub const DEFAULT_INTERVAL: Millis = 500;
 /// How long a heartbeat may take.
 pub const BEAT_TIMEOUT: Millis = 300;
 /// How often the owner looks who is due.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often the owner looks who is gone, which nodes' ways to the advice service work, and
 /// whether another node should own the cell.
-const REVIEW: Millis = 100;
+const REVIEW_INTERVAL: Millis = 100;
 
 /// When each node is due.
 #[derive(Debug, Default)]
@@ -55,8 +55,12 @@
         let mut due = Vec::new();
         for (place, (name, member)) in members.iter().enumerate() {
             // One that knows other nodes than we do is told the rest piece by piece.
-            let close = members.watches(name) || !members.agrees(member);
-            let interval = if close { WATCHED } else { RELAXED };
+            let close = members.watches(name) || !members.is_in_sync(member);
+            let interval = if close {
+                WATCHER_INTERVAL
+            } else {
+                DEFAULT_INTERVAL
+            };
             let next = match self.due.get(name).copied() {
                 // After the first one each has a place of its own in the interval.
                 None => now + interval * (place as Millis + 1) / nodes,
@@ -83,28 +87,32 @@
     let mut schedule = Schedule::default();
     let mut reviewed = 0;
     let mut beat: Option<(Millis, Beat)> = None;
-    shared.members().watch_anew(shared.now());
+    shared.members().restart_silence(shared.now());
     while let Some(engine) = shared.engine() {
         let now = shared.now();
         let due = schedule.take_due(&shared.members(), now);
         // The counts in a heartbeat go over all jobs, so it is made once for many nodes; ends that
         // wait for the store are told without that delay.
-        let age = if engine.is_stalled() { 0 } else { WATCHED };
+        let age = if engine.is_stalled() {
+            0
+        } else {
+            WATCHER_INTERVAL
+        };
         beat = beat.filter(|(made, _)| now.saturating_sub(*made) < age);
         let (_, base) = beat.get_or_insert_with(|| (now, shared.beat()));
         for node in due {
-            send(shared, base, node);
+            spawn_exchange(shared, base, node);
         }
-        if now.saturating_sub(reviewed) >= REVIEW {
+        if now.saturating_sub(reviewed) >= REVIEW_INTERVAL {
             reviewed = now;
             shared.members().forget_silent(now);
             election::review_ownership(shared).await;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn send(shared: &Arc<Shared>, base: &Beat, node: Due) {
+fn spawn_exchange(shared: &Arc<Shared>, base: &Beat, node: Due) {
     let (membership, changes) = {
         let mut members = shared.members();
         (members.digest(), members.changes_for(&node.name))
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -16,15 +16,15 @@
 use crate::store::{Row, StoreCall, StoreError, StoreReply, Table, Version};
 
 /// Progress is read in so many pieces, by the first digit of a job's id.
-const PROGRESS_PIECES: u32 = 16;
+const PROGRESS_RANGES: u32 = 16;
 /// How many rows one call reads; the store gives at most as many.
-const PAGE: u32 = 500;
+const PAGE_ROWS: u32 = 500;
 
 /// Follows all texts that a key may go on with.
 const AFTER_ALL: char = char::MAX;
 
 /// A cell as it was read, with the versions from which to follow changes.
-pub struct Loaded {
+pub struct LoadedCell {
     /// The cell.
     pub cell: Cell,
     /// How the roster lies in the store.
@@ -62,7 +62,7 @@
 /// Reads what was recorded of all jobs, in several pieces at once: one after the other they would
 /// take as many answers of a store that may be slow.
 async fn list_progress(shared: &Arc<Shared>) -> Result<Vec<Row>, StoreError> {
-    let bounds: Vec<String> = (1..PROGRESS_PIECES)
+    let bounds: Vec<String> = (1..PROGRESS_RANGES)
         .map(|digit| format!("{digit:x}"))
         .collect();
     let starts = std::iter::once(String::new()).chain(bounds.iter().cloned());
@@ -93,7 +93,7 @@
             partition: partition.to_owned(),
             from,
             until: until.clone(),
-            limit: PAGE,
+            limit: PAGE_ROWS,
         };
         let StoreReply::Rows {
             rows,
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 /// See [`StoreError`].
-pub async fn load(shared: &Arc<Shared>, epoch: u64) -> Result<Loaded, StoreError> {
+pub async fn load(shared: &Arc<Shared>, epoch: u64) -> Result<LoadedCell, StoreError> {
     let (former, progress, jobs, halls) = tokio::join!(
         list(shared, Table::Cells, PARTITION),
         list_progress(shared),
@@ -138,7 +138,7 @@
     let mut cell = Cell::new(epoch, config, now);
     cell.tell_wall_clock(clock::since_1970());
     let (roster, workers) = RosterRows::read(&former.0);
-    if roster.has_gaps() {
+    if roster.has_unreadable_rows() {
         cell.doubt_roster();
     }
     cell.list_former_workers(workers, now);
@@ -157,7 +157,7 @@
         }
     }
     for row in &jobs.rows {
-        let Some(job) = job_row(&row.value) else {
+        let Some(job) = parse_job_row(&row.value) else {
             continue;
         };
         // A row that is younger than the claim does not prove that the job is: whoever gets a job
@@ -183,7 +183,7 @@
         version = jobs.version,
         "cell loaded"
     );
-    Ok(Loaded { cell, roster, jobs })
+    Ok(LoadedCell { cell, roster, jobs })
 }
 
 /// Rows of jobs from all partitions that could be read.
@@ -245,7 +245,7 @@
         match reply {
             Ok(StoreReply::Rows { rows, .. }) => {
                 if let Some(row) = rows.first() {
-                    return Ok(job_row(&row.value));
+                    return Ok(parse_job_row(&row.value));
                 }
             }
             Ok(_) => failed = Some(StoreError::Malformed),
@@ -259,7 +259,7 @@
 }
 
 /// Reads the row of a job; one that cannot be read is logged and left out.
-pub fn job_row(value: &str) -> Option<JobRow> {
+pub fn parse_job_row(value: &str) -> Option<JobRow> {
     match serde_json::from_str(value) {
         Ok(row) => Some(row),
         Err(err) => {
@@ -270,7 +270,7 @@
 }
 
 /// Reads the platform's entry of a worker; one that cannot be read is logged.
-pub fn worker_entry(shared: &Shared, row: &Row) -> Option<WorkerEntry> {
+pub fn parse_worker_entry(shared: &Shared, row: &Row) -> Option<WorkerEntry> {
     match shared.decoder.worker(&row.key, &row.value) {
         Ok(entry) => Some(entry),
         Err(err) => {
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -21,7 +21,7 @@
 const FORGET_AFTER: Millis = 30_000;
 /// The most changes in one heartbeat, some 60 bytes each: a list of 147 nodes goes over in a
 /// second, and a heartbeat stays below 1.5 KB.
-pub const MOST_CHANGES: usize = 16;
+pub const MAX_CHANGES: usize = 16;
 /// So many of the strongest nodes watch the owner closely, since they may own the cell next.
 const STRONG_WATCHERS: usize = 8;
 /// So many others watch it as well, in case all strong ones are lost with it.
@@ -29,7 +29,7 @@
 /// So many nodes watch the owner closely.
 pub const WATCHERS: usize = STRONG_WATCHERS + OTHER_WATCHERS;
 /// So many nodes that are gone are remembered, so that nobody's word brings them back.
-const MOST_GONE: usize = 256;
+const MAX_REMOVED: usize = 256;
 
 /// The row of a node in the store, which it writes when it starts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
     /// When it was last heard; zero for never.
     pub heard: Millis,
     /// Since when its silence counts.
-    pub since: Millis,
+    pub silent_since: Millis,
     /// Its own way to the store works.
     pub reaches_store: bool,
     /// It is about to end.
@@ -67,13 +67,13 @@
     pub owner_silence: Millis,
     /// When we asked it, the last time that it answered that it does not reach the store;
     /// zero if it has said otherwise since.
-    pub away_asked: Millis,
+    pub no_store_asked: Millis,
     /// The digest of the nodes that it knows, as it last said.
     membership: u64,
     /// The number of the last change of what is told of it.
     changed: u64,
     /// Changes from this number on were told to it since the last one came about.
-    told_from: u64,
+    sent_from: u64,
 }
 
 impl Member {
@@ -83,17 +83,17 @@
             millicores: row.millicores,
             boot: 0,
             heard: 0,
-            since: now,
+            silent_since: now,
             reaches_store: false,
             leaving: false,
             configuration: 0,
             epoch: 0,
             strength: 0,
             owner_silence: 0,
-            away_asked: 0,
+            no_store_asked: 0,
             membership: 0,
             changed: 0,
-            told_from: u64::MAX,
+            sent_from: u64::MAX,
         }
     }
 
@@ -114,9 +114,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// The owner's, which also tells who is gone; or a row that the node wrote itself.
-    Sure,
+    Authoritative,
     /// Another node's, which only adds nodes.
-    Hearsay,
+    Secondhand,
 }
 
 /// All other nodes by name.
@@ -125,7 +125,7 @@
     own: String,
     known: BTreeMap<String, Member>,
     /// Nodes that were forgotten, with the number of that change.
-    gone: BTreeMap<String, u64>,
+    removed: BTreeMap<String, u64>,
     /// The name that each change was about; of several changes of one node only the last.
     changes: BTreeMap<u64, String>,
     /// The number of the newest change.
@@ -144,7 +144,7 @@
         let mut members = Self {
             own: own.to_owned(),
             known: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            removed: BTreeMap::new(),
             changes: BTreeMap::new(),
             newest: 0,
             digest: digest_of(own, row),
@@ -157,8 +157,8 @@
 
     /// Takes in what a node says of itself and of others; tells how many entries could not be
     /// understood or were too many.
-    pub fn hear(&mut self, beat: &Beat, source: Source, now: Millis) -> usize {
-        let refused = self.take_changes(beat, source, now);
+    pub fn apply_heartbeat(&mut self, beat: &Beat, source: Source, now: Millis) -> usize {
+        let refused = self.apply_changes(beat, source, now);
         if beat.name == self.own {
             return refused;
         }
@@ -182,7 +182,7 @@
         member.heard = now;
         member.reaches_store = beat.reaches_store;
         if beat.reaches_store {
-            member.away_asked = 0;
+            member.no_store_asked = 0;
         }
         member.leaving = beat.leaving;
         member.configuration = beat.configuration;
@@ -195,17 +195,17 @@
 
     /// What was just heard of a node answers a call that was sent at `asked`.  When an answer
     /// arrives does not tell when it was given: this process may have stood still meanwhile.
-    pub fn note_answer(&mut self, name: &str, asked: Millis) {
+    pub fn note_store_answer(&mut self, name: &str, asked: Millis) {
         if let Some(member) = self.known.get_mut(name) {
-            member.away_asked = if member.reaches_store { 0 } else { asked };
+            member.no_store_asked = if member.reaches_store { 0 } else { asked };
         }
     }
 
-    fn take_changes(&mut self, beat: &Beat, source: Source, now: Millis) -> usize {
-        let mut refused = beat.changes.len().saturating_sub(MOST_CHANGES);
-        for change in beat.changes.iter().take(MOST_CHANGES) {
+    fn apply_changes(&mut self, beat: &Beat, source: Source, now: Millis) -> usize {
+        let mut refused = beat.changes.len().saturating_sub(MAX_CHANGES);
+        for change in beat.changes.iter().take(MAX_CHANGES) {
             match change {
-                MemberChange::Gone(name) if source == Source::Sure => self.remove(name),
+                MemberChange::Gone(name) if source == Source::Authoritative => self.remove(name),
                 MemberChange::Gone(_) => {}
                 MemberChange::Known {
                     name,
@@ -218,7 +218,7 @@
                             address,
                             millicores,
                         };
-                        self.mention(name, row, source, now);
+                        self.add(name, row, source, now);
                     }
                     Err(_) => refused += 1,
                 },
@@ -228,9 +228,9 @@
     }
 
     /// Notes what somebody else says of a node, or what its row in the store says.
-    pub fn mention(&mut self, name: &str, row: NodeRow, source: Source, now: Millis) {
-        let news = !self.known.contains_key(name) && !self.gone.contains_key(name);
-        if name != self.own && (news || source == Source::Sure) {
+    pub fn add(&mut self, name: &str, row: NodeRow, source: Source, now: Millis) {
+        let news = !self.known.contains_key(name) && !self.removed.contains_key(name);
+        if name != self.own && (news || source == Source::Authoritative) {
             self.put(name, row, now);
         }
     }
@@ -270,29 +270,29 @@
         let former = match self.known.get_mut(name) {
             Some(member) => {
                 let former = std::mem::replace(&mut member.changed, newest);
-                self.gone.remove(name).unwrap_or(former)
+                self.removed.remove(name).unwrap_or(former)
             }
             None => self
-                .gone
+                .removed
                 .insert(name.to_owned(), newest)
                 .unwrap_or_default(),
         };
         self.changes.remove(&former);
         self.changes.insert(newest, name.to_owned());
         for member in self.known.values_mut() {
-            member.told_from = u64::MAX;
+            member.sent_from = u64::MAX;
         }
-        self.bound_gone();
+        self.bound_removed();
         self.choose_watchers();
     }
 
-    fn bound_gone(&mut self) {
-        if self.gone.len() <= MOST_GONE {
+    fn bound_removed(&mut self) {
+        if self.removed.len() <= MAX_REMOVED {
             return;
         }
-        let oldest = self.gone.iter().min_by_key(|(_, change)| **change);
+        let oldest = self.removed.iter().min_by_key(|(_, change)| **change);
         if let Some((name, change)) = oldest.map(|(name, change)| (name.clone(), *change)) {
-            self.gone.remove(&name);
+            self.removed.remove(&name);
             self.changes.remove(&change);
         }
     }
@@ -303,20 +303,20 @@
     }
 
     /// Tells whether a node knows the same nodes as we do, as far as it last said.
-    pub fn agrees(&self, member: &Member) -> bool {
+    pub fn is_in_sync(&self, member: &Member) -> bool {
         member.membership == self.digest
     }
 
     /// The next piece of what another node may not know; empty if it knows the same.
     pub fn changes_for(&mut self, name: &str) -> Vec<MemberChange> {
-        let Some(told_from) = self
+        let Some(sent_from) = self
             .known
             .get(name)
-            .and_then(|member| (!self.agrees(member)).then_some(member.told_from))
+            .and_then(|member| (!self.is_in_sync(member)).then_some(member.sent_from))
         else {
             return Vec::new();
         };
-        let piece = self.changes.range(..told_from).rev().take(MOST_CHANGES);
+        let piece = self.changes.range(..sent_from).rev().take(MAX_CHANGES);
         let mut last = u64::MAX;
         let mut changes = Vec::new();
         for (number, about) in piece {
@@ -327,7 +327,7 @@
         }
         if let Some(member) = self.known.get_mut(name) {
             // After the last piece the first one follows: any of them may have been lost.
-            member.told_from = last;
+            member.sent_from = last;
         }
         changes
     }
@@ -345,9 +345,9 @@
 
     /// From now on silence counts: a node that has just become the owner has not heard most
     /// others before, as they do not speak to one another.
-    pub fn watch_anew(&mut self, now: Millis) {
+    pub fn restart_silence(&mut self, now: Millis) {
         for member in self.known.values_mut() {
-            member.since = now;
+            member.silent_since = now;
         }
     }
 
@@ -356,7 +356,7 @@
         let silent: Vec<String> = self
             .known
             .iter()
-            .filter(|(_, m)| now.saturating_sub(m.heard.max(m.since)) >= FORGET_AFTER)
+            .filter(|(_, m)| now.saturating_sub(m.heard.max(m.silent_since)) >= FORGET_AFTER)
             .map(|(name, _)| name.clone())
             .collect();
         for name in silent {
@@ -385,7 +385,7 @@
         let mut others: Vec<(bool, u64, SocketAddr)> = self
             .known
             .iter()
-            .map(|(name, member)| (!self.watches(name), spread(name), member.address))
+            .map(|(name, member)| (!self.watches(name), name_hash(name), member.address))
             .collect();
         others.sort_unstable();
         others.into_iter().map(|(_, _, address)| address).collect()
@@ -405,7 +405,7 @@
         let mut all: Vec<(u32, &String)> = others.chain(own).collect();
         all.sort_unstable_by_key(|(millicores, name)| (Reverse(*millicores), *name));
         let strong = all.len().min(STRONG_WATCHERS);
-        all[strong..].sort_unstable_by_key(|(_, name)| spread(name));
+        all[strong..].sort_unstable_by_key(|(_, name)| name_hash(name));
         all.truncate(WATCHERS);
         self.watchers = all.into_iter().map(|(_, name)| name.clone()).collect();
     }
@@ -430,6 +430,6 @@
 }
 
 /// A place in an order that is the same on every node and prefers nobody.
-pub fn spread(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -9,9 +9,9 @@
 /// spare, and a takeover takes some 150 ms more.
 const SUSPECT_MARGIN: Millis = 100;
 /// So many heartbeats may be missed before the owner is suspected.
-const MISSED_BEATS: Millis = 3;
+const TOLERATED_MISSES: Millis = 3;
 /// How often the owner is heard by nodes that it has not told otherwise.
-pub const BEAT: Millis = 100;
+pub const HEARTBEAT_INTERVAL: Millis = 100;
 
 /// Who owns the cell, as far as this node knows.
 #[derive(Debug, Clone)]
@@ -23,7 +23,7 @@
     /// When it was last heard itself; none if it never was.
     pub heard: Option<Millis>,
     /// Since when a node that has just claimed the cell is given time to load it.
-    pub expected: Option<Millis>,
+    pub claim_seen: Option<Millis>,
     /// Jobs of which nothing has begun by queue, as it last said.
     pub pending: Vec<(String, u32)>,
     /// How often it tells of itself here, in milliseconds.
@@ -36,9 +36,9 @@
             epoch: 0,
             address: None,
             heard: None,
-            expected: None,
+            claim_seen: None,
             pending: Vec::new(),
-            interval: BEAT,
+            interval: HEARTBEAT_INTERVAL,
         }
     }
 }
@@ -46,31 +46,31 @@
 impl Owner {
     /// Tells whether the owner has been silent for so long that another may be needed.
     pub fn is_suspect(&self, now: Millis) -> bool {
-        self.silence(now) > patience(self.interval)
+        self.inactivity(now) > suspicion_timeout(self.interval)
     }
 
     /// Tells whether the owner itself has been silent for so long, whoever else claims the cell.
     pub fn is_silent(&self, now: Millis) -> bool {
-        self.unheard(now) > patience(self.interval)
+        self.silence(now) > suspicion_timeout(self.interval)
     }
 
     /// The owner tells of itself this often here; zero if it did not say.
-    pub fn beats_every(&mut self, interval: u32) {
-        self.interval = Millis::from(interval).max(BEAT);
+    pub fn set_interval(&mut self, interval: u32) {
+        self.interval = Millis::from(interval).max(HEARTBEAT_INTERVAL);
     }
 
     /// How long the owner has been silent; for ever if there is nobody to wait for.
-    fn silence(&self, now: Millis) -> Millis {
-        elapsed(self.heard.max(self.expected), now)
+    fn inactivity(&self, now: Millis) -> Millis {
+        elapsed(self.heard.max(self.claim_seen), now)
     }
 
     /// How long ago the owner itself was heard; for ever if it never was.
-    pub fn unheard(&self, now: Millis) -> Millis {
+    pub fn silence(&self, now: Millis) -> Millis {
         elapsed(self.heard, now)
     }
 
     /// Tells whether the owner says by this heartbeat that it does not own the cell any more.
-    pub fn gives_up(&self, beat: &Beat) -> bool {
+    pub fn is_released_by(&self, beat: &Beat) -> bool {
         let is_owner = self
             .address
             .is_some_and(|own| own.to_string() == beat.address);
@@ -81,53 +81,53 @@
 
     /// The owner has given the cell up, or has started again; a node that claims the cell is
     /// waited for all the same.
-    pub fn give_up(&mut self) {
-        let claim = self.expected;
-        self.forget();
-        self.expected = claim;
+    pub fn release(&mut self) {
+        let claim = self.claim_seen;
+        self.clear();
+        self.claim_seen = claim;
     }
 
     /// There is nobody to wait for.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.address = None;
         self.heard = None;
-        self.expected = None;
-        self.interval = BEAT;
+        self.claim_seen = None;
+        self.interval = HEARTBEAT_INTERVAL;
     }
 
     /// Somebody has claimed the cell under `epoch` and needs time to load it.
-    pub fn expect(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
+    pub fn await_claimant(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
         self.epoch = epoch;
         self.address = address;
         self.heard = None;
-        self.expected = Some(now);
-        self.interval = BEAT;
+        self.claim_seen = Some(now);
+        self.interval = HEARTBEAT_INTERVAL;
     }
 
     /// How long ago a node that is claiming the cell was heard; none if that was too long ago, or
     /// if an owner was heard since.
     pub fn claim_age(&self, now: Millis) -> Option<u32> {
-        let age = now.saturating_sub(self.expected?);
-        (age <= patience(BEAT)).then_some(age as u32)
+        let age = now.saturating_sub(self.claim_seen?);
+        (age <= suspicion_timeout(HEARTBEAT_INTERVAL)).then_some(age as u32)
     }
 
     /// A node that is claiming the cell, or loading it, was heard at `heard`: it is given time.
-    pub fn expect_claim(&mut self, heard: Millis) {
-        self.expected = self.expected.max(Some(heard));
+    pub fn note_claim(&mut self, heard: Millis) {
+        self.claim_seen = self.claim_seen.max(Some(heard));
     }
 
     /// The owner under `epoch` was heard.
-    pub fn hear(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
+    pub fn note_heartbeat(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
         self.epoch = epoch;
         self.address = address;
         self.heard = Some(now);
-        self.expected = None;
+        self.claim_seen = None;
     }
 }
 
 /// How long a node that tells of itself every `interval` may be silent before it is suspected.
-fn patience(interval: Millis) -> Millis {
-    MISSED_BEATS * interval + SUSPECT_MARGIN
+fn suspicion_timeout(interval: Millis) -> Millis {
+    TOLERATED_MISSES * interval + SUSPECT_MARGIN
 }
 
 fn elapsed(since: Option<Millis>, now: Millis) -> Millis {
--- a/src/node/owner_calls.rs
+++ b/src/node/owner_calls.rs
@@ -11,7 +11,7 @@
 /// How long the owner may take to take in a job or to tell its state.
 pub const OWNER_TIMEOUT: Millis = 600;
 /// How often telling the owner of a job is tried; it finds the row by itself as well.
-const TELL_TRIES: u32 = 3;
+const NOTIFY_ATTEMPTS: u32 = 3;
 
 /// Answers a call that only the owner can answer.
 pub async fn serve_as_owner(shared: &Arc<Shared>, call: NodeCall) -> NodeReply {
@@ -71,11 +71,11 @@
 }
 
 /// Tells the owner of a job, so that it need not find the row by itself.
-pub async fn tell_owner(shared: Arc<Shared>, row: JobRow) {
+pub async fn notify_owner(shared: Arc<Shared>, row: JobRow) {
     let Ok(body) = serde_json::to_vec(&row) else {
         return;
     };
-    for _ in 0..TELL_TRIES {
+    for _ in 0..NOTIFY_ATTEMPTS {
         let call = NodeCall::Accepted(body.clone());
         if let Some(NodeReply::Taken) = ask_owner(&shared, call, OWNER_TIMEOUT).await {
             return;
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -30,11 +30,11 @@
 const RECORD_TICK: Duration = Duration::from_millis(200);
 /// The most jobs in a transaction, of whose rows the store takes 100: that of ownership and some of
 /// the roster go with them.
-pub(super) const MOST_JOBS: usize = 80;
+pub(super) const MAX_JOBS: usize = 80;
 /// The most rows in a transaction beside that of ownership, its version and what a release passes on.
-const MOST_ROWS: usize = 96;
+const MAX_ROWS: usize = 96;
 /// The most rows of the roster in a transaction, so that jobs are recorded beside them.
-const MOST_ROSTER_ROWS: usize = 48;
+const MAX_ROSTER_ROWS: usize = 48;
 /// A transaction without an answer for so long is late: ten times what one takes.
 const LATE: Duration = Duration::from_millis(60);
 /// The pause after a failed transaction.
@@ -108,14 +108,14 @@
         let most_jobs = self.most_jobs.load(Ordering::Relaxed);
         // After a rejection the job at fault is looked for, and nothing else goes with it.
         let (roster, workers) = self.changed_roster(match most_jobs {
-            MOST_JOBS => MOST_ROSTER_ROWS,
+            MAX_JOBS => MAX_ROSTER_ROWS,
             _ => 0,
         });
         let batch = self
             .cell()
-            .take_batch(most_jobs.min(MOST_ROWS - workers.rows()));
+            .take_batch(most_jobs.min(MAX_ROWS - workers.rows()));
         if batch.rows.is_empty() && workers.rows() == 0 && !release {
-            self.most_jobs.store(MOST_JOBS, Ordering::Relaxed);
+            self.most_jobs.store(MAX_JOBS, Ordering::Relaxed);
             self.finish_roster(roster, &workers);
             if !batch.ends.is_empty() || !batch.lost.is_empty() {
                 self.finish(batch);
@@ -174,7 +174,7 @@
             tokio::time::sleep(RETRY_PAUSE).await;
         }
         self.stalled.store(false, Ordering::Relaxed);
-        self.most_jobs.store(MOST_JOBS, Ordering::Relaxed);
+        self.most_jobs.store(MAX_JOBS, Ordering::Relaxed);
         self.finish_roster(roster, &workers);
         self.finish(batch);
     }
@@ -209,7 +209,7 @@
     fn changed_roster(&self, most_rows: usize) -> (u64, RosterWrite) {
         let (version, changes) = self.cell().take_roster_changes();
         let mut rows = self.roster_rows();
-        rows.take(changes);
+        rows.apply(changes);
         (version, rows.next_write(most_rows))
     }
 
@@ -217,7 +217,7 @@
     fn finish_roster(&self, version: u64, written: &RosterWrite) {
         let is_written = {
             let mut rows = self.roster_rows();
-            rows.are_written(written);
+            rows.mark_written(written);
             rows.is_written()
         };
         if is_written {
--- a/src/node/roster_rows.rs
+++ b/src/node/roster_rows.rs
@@ -24,13 +24,13 @@
 const MERGE_BYTES: usize = SPLIT_BYTES / 4;
 /// A longer entry names no jobs: a successor then waits for that worker with all jobs, which is
 /// slower and as safe.
-const MOST_ENTRY_BYTES: usize = 2_000;
+const MAX_ENTRY_BYTES: usize = 2_000;
 /// Rows name so many bits at least: some workers each in a small cell.
-const LEAST_DEPTH: u8 = 4;
+const MIN_DEPTH: u8 = 4;
 /// Rows name so many bits at most: more do not tell that many workers apart.
-const MOST_DEPTH: u8 = 32;
+const MAX_DEPTH: u8 = 32;
 /// The most bytes of rows in one transaction, of which the store takes 1 MB in its own form.
-const MOST_WRITE_BYTES: usize = 500_000;
+const MAX_WRITE_BYTES: usize = 500_000;
 /// How the keys of the rows begin.
 const KEY_PREFIX: &str = "workers-";
 
@@ -57,7 +57,7 @@
     }
 
     fn parent(self) -> Option<Self> {
-        (self.depth > LEAST_DEPTH).then(|| Self::of(self.bits, self.depth - 1))
+        (self.depth > MIN_DEPTH).then(|| Self::of(self.bits, self.depth - 1))
     }
 
     fn hashes(self) -> RangeInclusive<u64> {
@@ -75,10 +75,10 @@
     }
 
     /// The bits that a key names; none if it is one of a former layout, which had two digits.
-    fn named(key: &str) -> Option<Self> {
+    fn parse_key(key: &str) -> Option<Self> {
         let text = key.strip_prefix(KEY_PREFIX)?;
         let depth = u8::try_from(text.len()).ok()?;
-        if !(LEAST_DEPTH..=MOST_DEPTH).contains(&depth) {
+        if !(MIN_DEPTH..=MAX_DEPTH).contains(&depth) {
             return None;
         }
         let bits = u64::from_str_radix(text, 2).ok()? << (64 - depth);
@@ -98,9 +98,9 @@
     /// The keys of the rows that are there.
     stored: BTreeSet<String>,
     /// Rows that are there and should not be.
-    needless: BTreeSet<String>,
+    obsolete: BTreeSet<String>,
     /// A row could not be read.
-    has_gaps: bool,
+    has_unreadable_rows: bool,
 }
 
 /// Rows of the roster that go into one transaction.
@@ -126,7 +126,7 @@
         let mut roster = Self::default();
         let mut found: BTreeMap<String, RosterEntry> = BTreeMap::new();
         for row in rows.iter().filter(|row| row.key.starts_with(KEY_PREFIX)) {
-            let prefix = roster.take_key(&row.key);
+            let prefix = roster.note_stored(&row.key);
             match serde_json::from_str::<Vec<RosterEntry>>(&row.value) {
                 Ok(entries) => entries
                     .into_iter()
@@ -134,7 +134,7 @@
                 Err(err) => {
                     tracing::error!(%err, key = row.key, "a part of the former owner's roster cannot be read");
                     roster.changed.extend(prefix);
-                    roster.has_gaps = true;
+                    roster.has_unreadable_rows = true;
                 }
             }
         }
@@ -142,18 +142,18 @@
             let id = &entry.worker.life.id;
             roster.entries.insert((hash(id), id.clone()), encode(entry));
         }
-        roster.move_strays();
+        roster.mark_legacy_rows();
         (roster, found.into_values().collect())
     }
 
     /// Tells whether some of what the former owner wrote could not be read.
-    pub fn has_gaps(&self) -> bool {
-        self.has_gaps
+    pub fn has_unreadable_rows(&self) -> bool {
+        self.has_unreadable_rows
     }
 
     /// Notes that a row is there.  One of a former layout goes once all others are written.
-    fn take_key(&mut self, key: &str) -> Option<Prefix> {
-        let prefix = Prefix::named(key);
+    fn note_stored(&mut self, key: &str) -> Option<Prefix> {
+        let prefix = Prefix::parse_key(key);
         self.stored.insert(key.to_owned());
         match prefix {
             Some(prefix) => {
@@ -161,7 +161,7 @@
                 self.split.extend(above);
             }
             None => {
-                self.needless.insert(key.to_owned());
+                self.obsolete.insert(key.to_owned());
             }
         }
         prefix
@@ -169,17 +169,17 @@
 
     /// Rows of a former layout are written anew, and a row that was split goes if a former owner
     /// was lost before it could drop it.
-    fn move_strays(&mut self) {
-        if !self.needless.is_empty() {
+    fn mark_legacy_rows(&mut self) {
+        if !self.obsolete.is_empty() {
             let hashes: Vec<u64> = self.entries.keys().map(|(hash, _)| *hash).collect();
             for hash in hashes {
-                self.touch(hash);
+                self.mark_changed(hash);
             }
         }
     }
 
     /// Takes in what has changed in the roster.
-    pub fn take(&mut self, changes: Vec<RosterChange>) {
+    pub fn apply(&mut self, changes: Vec<RosterChange>) {
         for RosterChange { id, entry } in changes {
             let hash = hash(&id);
             match entry {
@@ -197,13 +197,13 @@
                     }
                 }
             }
-            self.touch(hash);
+            self.mark_changed(hash);
         }
     }
 
     /// The row that holds the ids of this hash has changed.
-    fn touch(&mut self, hash: u64) {
-        let mut prefix = Prefix::of(hash, LEAST_DEPTH);
+    fn mark_changed(&mut self, hash: u64) {
+        let mut prefix = Prefix::of(hash, MIN_DEPTH);
         while self.split.contains(&prefix) {
             prefix = Prefix::of(hash, prefix.depth + 1);
         }
@@ -217,12 +217,12 @@
 
     fn split_row(&mut self, prefix: Prefix) {
         self.split.insert(prefix);
-        self.leave(prefix);
+        self.drop_row(prefix);
         for child in prefix.children() {
-            if child.depth < MOST_DEPTH && self.bytes(child) > SPLIT_BYTES {
+            if child.depth < MAX_DEPTH && self.bytes(child) > SPLIT_BYTES {
                 self.split_row(child);
             } else {
-                self.settle(child);
+                self.keep_row(child);
             }
         }
     }
@@ -238,28 +238,28 @@
         }
         self.split.remove(&parent);
         for child in children {
-            self.leave(child);
+            self.drop_row(child);
         }
-        self.settle(parent);
+        self.keep_row(parent);
         self.merge_rows(parent);
     }
 
     /// A row is to be written, and stays.
-    fn settle(&mut self, prefix: Prefix) {
-        self.needless.remove(&prefix.key().key);
+    fn keep_row(&mut self, prefix: Prefix) {
+        self.obsolete.remove(&prefix.key().key);
         self.changed.insert(prefix);
     }
 
     /// Other rows take the place of this one.
-    fn leave(&mut self, prefix: Prefix) {
+    fn drop_row(&mut self, prefix: Prefix) {
         self.changed.remove(&prefix);
         let key = prefix.key().key;
         if self.stored.contains(&key) {
-            self.needless.insert(key);
+            self.obsolete.insert(key);
         }
     }
 
-    fn texts(&self, prefix: Prefix) -> impl Iterator<Item = &String> {
+    fn entry_texts(&self, prefix: Prefix) -> impl Iterator<Item = &String> {
         let hashes = prefix.hashes();
         let from = (*hashes.start(), String::new());
         let entries = self.entries.range(from..);
@@ -268,12 +268,12 @@
     }
 
     fn bytes(&self, prefix: Prefix) -> usize {
-        self.texts(prefix).map(|text| text.len() + 1).sum()
+        self.entry_texts(prefix).map(|text| text.len() + 1).sum()
     }
 
     /// Tells whether all that was taken in is written.
     pub fn is_written(&self) -> bool {
-        self.changed.is_empty() && self.needless.is_empty()
+        self.changed.is_empty() && self.obsolete.is_empty()
     }
 
     /// What one transaction writes next, in so many rows at most.  Rows go only when those that
@@ -282,30 +282,30 @@
         let mut write = RosterWrite::default();
         let mut bytes = 0;
         for &prefix in &self.changed {
-            let texts: Vec<&str> = self.texts(prefix).map(String::as_str).collect();
+            let texts: Vec<&str> = self.entry_texts(prefix).map(String::as_str).collect();
             let text = format!("[{}]", texts.join(","));
             bytes += text.len();
-            if write.rows() == most_rows || bytes > MOST_WRITE_BYTES {
+            if write.rows() == most_rows || bytes > MAX_WRITE_BYTES {
                 return write;
             }
             write.puts.push((prefix.key(), text));
             write.written.push(prefix);
         }
         let left = most_rows - write.rows();
-        let needless = self.needless.iter().take(left);
-        let drops = needless.map(|key| RowKey::new(Table::Cells, PARTITION, key));
+        let obsolete = self.obsolete.iter().take(left);
+        let drops = obsolete.map(|key| RowKey::new(Table::Cells, PARTITION, key));
         write.drops.extend(drops);
         write
     }
 
     /// These rows are durable.
-    pub fn are_written(&mut self, write: &RosterWrite) {
+    pub fn mark_written(&mut self, write: &RosterWrite) {
         for prefix in &write.written {
             self.changed.remove(prefix);
             self.stored.insert(prefix.key().key);
         }
         for row in &write.drops {
-            self.needless.remove(&row.key);
+            self.obsolete.remove(&row.key);
             self.stored.remove(&row.key);
         }
     }
@@ -340,7 +340,7 @@
 
 fn encode(entry: &RosterEntry) -> String {
     let text = store::encode(entry);
-    if text.len() <= MOST_ENTRY_BYTES {
+    if text.len() <= MAX_ENTRY_BYTES {
         return text;
     }
     store::encode(&RosterEntry {
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -369,7 +369,7 @@
             owner_silence: if engine.is_some() {
                 0
             } else {
-                owner.unheard(now)
+                owner.silence(now)
             },
             membership: self.members().digest(),
             changes: Vec::new(),
@@ -404,10 +404,10 @@
     fn hear_of_members(&self, beat: &Beat, now: Millis) {
         let owner_speaks = beat.owns && beat.epoch >= self.owner().epoch;
         let source = match owner_speaks && self.engine().is_none() {
-            true => Source::Sure,
-            false => Source::Hearsay,
+            true => Source::Authoritative,
+            false => Source::Secondhand,
         };
-        let refused = self.members().hear(beat, source, now);
+        let refused = self.members().apply_heartbeat(beat, source, now);
         if refused > 0 {
             tracing::warn!(node = beat.name, refused, "entries of nodes are refused");
             self.metrics.event("unreadable_member");
@@ -425,24 +425,24 @@
             if news {
                 tracing::info!(epoch = beat.epoch, owner = beat.name, "owner of the cell");
             }
-            owner.hear(beat.epoch, beat.address.parse().ok(), now);
-            owner.beats_every(beat.interval);
+            owner.note_heartbeat(beat.epoch, beat.address.parse().ok(), now);
+            owner.set_interval(beat.interval);
             owner.pending.clone_from(&beat.pending);
-        } else if owner.gives_up(beat) {
+        } else if owner.is_released_by(beat) {
             tracing::info!(
                 epoch = owner.epoch,
                 owner = beat.name,
                 "owner gives the cell up"
             );
-            owner.give_up();
+            owner.release();
         } else if beat.epoch > owner.epoch {
             // Its claimant is loading the cell and soon tells of itself.
-            owner.expect(beat.epoch, None, now);
+            owner.await_claimant(beat.epoch, None, now);
         }
         if let Some(age) = beat.claim_age
             && beat.epoch >= owner.epoch
         {
-            owner.expect_claim(now.saturating_sub(Millis::from(age)));
+            owner.note_claim(now.saturating_sub(Millis::from(age)));
         }
         let epoch = owner.epoch;
         drop(owner);
--- a/tests/asked_at_the_end.rs
+++ b/tests/asked_at_the_end.rs
@@ -49,7 +49,7 @@
     let engine = engine.expect("the cell loads");
     node.shared.set_engine(Some(Arc::clone(&engine)));
     let (address, now) = (node.shared.address, node.shared.now());
-    node.shared.owner().hear(1, Some(address), now);
+    node.shared.owner().note_heartbeat(1, Some(address), now);
     pass(1_000).await;
     let front = Front::new(Arc::clone(&node.shared));
     Bed {
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,6 +1,6 @@
 //! What a node knows of the others, and how two that know different nodes come to agree.
 
-use crossweir::node::members::{MOST_CHANGES, Members, NodeRow, Source};
+use crossweir::node::members::{MAX_CHANGES, Members, NodeRow, Source};
 use crossweir::rpc::node::{Beat, MemberChange, NodeCall};
 use yare::parameterized;
 
@@ -21,7 +21,7 @@
 fn members(place: usize, others: impl IntoIterator<Item = usize>) -> Members {
     let mut members = Members::new(&name(place), &row(place));
     for other in others {
-        members.mention(&name(other), row(other), Source::Hearsay, NOW);
+        members.add(&name(other), row(other), Source::Secondhand, NOW);
     }
     members
 }
@@ -42,9 +42,9 @@
 /// The owner, at place 0, and the node at `place` exchange a heartbeat.
 fn exchange(owner: &mut Members, other: &mut Members, place: usize) {
     let changes = owner.changes_for(&name(place));
-    other.hear(&beat(0, owner, changes), Source::Sure, NOW);
+    other.apply_heartbeat(&beat(0, owner, changes), Source::Authoritative, NOW);
     let changes = other.changes_for(&name(0));
-    owner.hear(&beat(place, other, changes), Source::Hearsay, NOW);
+    owner.apply_heartbeat(&beat(place, other, changes), Source::Secondhand, NOW);
 }
 
 #[test]
@@ -61,7 +61,7 @@
     // Arrange.
     let mut owner = members(0, 1..100);
     let mut other = members(100, []);
-    owner.mention("n100", row(100), Source::Hearsay, NOW);
+    owner.add("n100", row(100), Source::Secondhand, NOW);
 
     // Act.
     let mut exchanges = 0;
@@ -72,7 +72,7 @@
     }
 
     // Assert.
-    assert!(exchanges <= 100 / MOST_CHANGES + 2, "{exchanges}");
+    assert!(exchanges <= 100 / MAX_CHANGES + 2, "{exchanges}");
     assert_eq!(other.iter().count(), 100);
 }
 
@@ -84,7 +84,7 @@
     exchange(&mut owner, &mut other, 1);
 
     // Act.
-    owner.mention("n150", row(150), Source::Hearsay, NOW);
+    owner.add("n150", row(150), Source::Secondhand, NOW);
     exchange(&mut owner, &mut other, 1);
 
     // Assert.
@@ -117,17 +117,21 @@
     }];
 
     // Act.
-    other.hear(
+    other.apply_heartbeat(
         &beat(3, &members(3, []), gone.clone()),
-        Source::Hearsay,
+        Source::Secondhand,
         NOW,
     );
     let after_hearsay = other.get("n2").is_some();
-    other.hear(&beat(0, &members(0, []), gone), Source::Sure, NOW);
+    other.apply_heartbeat(&beat(0, &members(0, []), gone), Source::Authoritative, NOW);
     let after_the_owner = other.get("n2").is_some();
-    other.hear(&beat(3, &members(3, []), known), Source::Hearsay, NOW);
+    other.apply_heartbeat(&beat(3, &members(3, []), known), Source::Secondhand, NOW);
     let after_more_hearsay = other.get("n2").is_some();
-    other.hear(&beat(2, &members(2, []), Vec::new()), Source::Hearsay, NOW);
+    other.apply_heartbeat(
+        &beat(2, &members(2, []), Vec::new()),
+        Source::Secondhand,
+        NOW,
+    );
 
     // Assert.
     assert!(after_hearsay);
@@ -148,7 +152,7 @@
         address: String::from("10.0.9.9:7000"),
         ..beat(5, &members(5, []), Vec::new())
     };
-    owner.hear(&moved, Source::Hearsay, NOW);
+    owner.apply_heartbeat(&moved, Source::Secondhand, NOW);
     exchange(&mut owner, &mut other, 1);
 
     // Assert.
@@ -180,7 +184,7 @@
 
 #[parameterized(
     unreadable_address = { unreadable(), 1, 2 },
-    far_too_many = { a_thousand(), 1_000 - MOST_CHANGES, 2 + MOST_CHANGES },
+    far_too_many = { a_thousand(), 1_000 - MAX_CHANGES, 2 + MAX_CHANGES },
     our_own_name = { of_our_own(), 0, 2 },
 )]
 fn bad_entries_are_counted_and_nothing_is_forgotten(
@@ -189,7 +193,11 @@
     known: usize,
 ) {
     let mut members = members(1, [0, 2]);
-    let counted = members.hear(&beat(0, &self::members(0, []), changes), Source::Sure, NOW);
+    let counted = members.apply_heartbeat(
+        &beat(0, &self::members(0, []), changes),
+        Source::Authoritative,
+        NOW,
+    );
     assert_eq!((counted, members.iter().count()), (refused, known));
 }
 
@@ -201,7 +209,7 @@
         address: String::from("nowhere"),
         ..Beat::default()
     };
-    assert_eq!(members.hear(&beat, Source::Hearsay, NOW), 1);
+    assert_eq!(members.apply_heartbeat(&beat, Source::Secondhand, NOW), 1);
     assert!(members.get("n7").is_none());
 }
 
@@ -215,7 +223,7 @@
     let all = |own: usize| {
         let mut members = Members::new(&name(own), &strong(own));
         for place in 0..100 {
-            members.mention(&name(place), strong(place), Source::Hearsay, NOW);
+            members.add(&name(place), strong(place), Source::Secondhand, NOW);
         }
         members
     };
@@ -243,14 +251,14 @@
         reaches_store: true,
         ..away.clone()
     };
-    let asked = |members: &Members| members.get("n1").map(|member| member.away_asked);
+    let asked = |members: &Members| members.get("n1").map(|member| member.no_store_asked);
 
     // Act.
-    members.hear(&away, Source::Hearsay, 5_000);
+    members.apply_heartbeat(&away, Source::Secondhand, 5_000);
     let unasked = asked(&members);
-    members.note_answer("n1", 2_000);
+    members.note_store_answer("n1", 2_000);
     let answered = asked(&members);
-    members.hear(&back, Source::Hearsay, 5_100);
+    members.apply_heartbeat(&back, Source::Secondhand, 5_100);
 
     // Assert.
     assert_eq!(
--- a/tests/roster_rows.rs
+++ b/tests/roster_rows.rs
@@ -60,7 +60,7 @@
         };
         let reply = store.call(StoreCall::Commit(tx)).await;
         assert!(matches!(reply, Ok(StoreReply::Committed(_))), "{reply:?}");
-        rows.are_written(&write);
+        rows.mark_written(&write);
         puts += write.puts.len();
         drops += write.drops.len();
         transactions += 1;
@@ -101,7 +101,7 @@
     let entries = entries(workers, None);
 
     let mut rows = RosterRows::default();
-    rows.take(changes(&entries));
+    rows.apply(changes(&entries));
     write(&store, &mut rows).await;
 
     assert_eq!(read_sorted(&stored(&store).await), entries);
@@ -112,11 +112,11 @@
     let store = MemoryStore::default();
     let mut rows = RosterRows::default();
     let mut entries = entries(MANY, None);
-    rows.take(changes(&entries));
+    rows.apply(changes(&entries));
     write(&store, &mut rows).await;
 
     entries[5].jobs = Some(vec![JobId(1)]);
-    rows.take(changes(&entries));
+    rows.apply(changes(&entries));
 
     assert_eq!(write(&store, &mut rows).await, (1, 0, 1));
     assert_eq!(read_sorted(&stored(&store).await), entries);
@@ -130,11 +130,11 @@
         let store = MemoryStore::default();
         let entries = entries(workers, None);
         let mut rows = RosterRows::default();
-        rows.take(changes(&entries));
+        rows.apply(changes(&entries));
         write(&store, &mut rows).await;
         let mut written = 0;
         for entry in &entries[..150] {
-            rows.take(vec![gone(entry)]);
+            rows.apply(vec![gone(entry)]);
             written += rows.next_write(MOST_ROWS).puts[0].1.len();
             write(&store, &mut rows).await;
         }
@@ -153,12 +153,12 @@
 
     // Act: workers come one by one, and go again.
     for entry in &entries {
-        rows.take(changes(std::slice::from_ref(entry)));
+        rows.apply(changes(std::slice::from_ref(entry)));
         write(&store, &mut rows).await;
     }
     let full = stored(&store).await;
     for entry in &entries[48..] {
-        rows.take(vec![gone(entry)]);
+        rows.apply(vec![gone(entry)]);
         write(&store, &mut rows).await;
     }
     let small = stored(&store).await;
@@ -179,13 +179,13 @@
     let store = MemoryStore::default();
     let entries = entries(6_000, None);
     let mut rows = RosterRows::default();
-    rows.take(changes(&entries));
+    rows.apply(changes(&entries));
     write(&store, &mut rows).await;
 
     let (mut rows, _) = RosterRows::read(&stored(&store).await);
     let at_first = rows.is_written();
-    rows.take(changes(&entries));
-    rows.take(vec![gone(&entries[7])]);
+    rows.apply(changes(&entries));
+    rows.apply(vec![gone(&entries[7])]);
 
     assert!(at_first);
     assert_eq!(write(&store, &mut rows).await, (1, 0, 1));
@@ -198,7 +198,7 @@
     let store = MemoryStore::default();
     let named = entries(1, Some(vec![JobId(1)]));
     let mut rows = RosterRows::default();
-    rows.take(changes(&named));
+    rows.apply(changes(&named));
     write(&store, &mut rows).await;
     let mut stored = stored(&store).await;
     let mut former = stored[0].clone();
@@ -239,7 +239,7 @@
 async fn a_row_that_cannot_be_read_is_written_anew_and_the_others_hold() {
     let store = MemoryStore::default();
     let mut rows = RosterRows::default();
-    rows.take(changes(&entries(48, None)));
+    rows.apply(changes(&entries(48, None)));
     write(&store, &mut rows).await;
     let mut stored = stored(&store).await;
     let lost: Vec<RosterEntry> = serde_json::from_str(&stored[0].value).expect("entries");
@@ -257,7 +257,7 @@
     let store = MemoryStore::default();
 
     let mut rows = RosterRows::default();
-    rows.take(changes(&entries(MANY, Some(jobs))));
+    rows.apply(changes(&entries(MANY, Some(jobs))));
     write(&store, &mut rows).await;
 
     for row in stored(&store).await {
