--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -102,7 +102,7 @@
         self.counts.advice_looks += 1;
         let (workers, are_enough) = self.worth_asking(key, needed, &policy, round);
         if !are_enough {
-            self.unpark_for(key, needed, now);
+            self.unpark_for_step(key, needed, now);
         }
         if workers.is_empty() {
             self.steps[key].advice.looked_after = now + tuning::ADVICE_LOOK;
--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -269,11 +269,14 @@
 
     fn doubt(&mut self, life: Life, machine: String, loss_key: LossKey, now: Millis) {
         let noted = self.next_sequence();
-        let doubt = self.doubts.entry(life).or_insert_with(|| PendingLosses {
-            machine,
-            since: now,
-            losses: Vec::new(),
-        });
+        let doubt = self
+            .pending_losses
+            .entry(life)
+            .or_insert_with(|| PendingLosses {
+                machine,
+                since: now,
+                losses: Vec::new(),
+            });
         doubt.losses.push(PendingLoss { loss_key, noted });
     }
 
@@ -318,7 +321,7 @@
     }
 
     fn clear_losses_of_life(&mut self, life: &Life, sent: Sequence) {
-        let Some(mut doubt) = self.doubts.swap_remove(life) else {
+        let Some(mut doubt) = self.pending_losses.swap_remove(life) else {
             return;
         };
         let is_open = |noted: &PendingLoss| {
@@ -328,7 +331,7 @@
         let (open, clear) = doubt.losses.into_iter().partition(is_open);
         doubt.losses = open;
         if !doubt.losses.is_empty() {
-            self.doubts.insert(life.clone(), doubt);
+            self.pending_losses.insert(life.clone(), doubt);
         }
         self.forget_pending(clear);
     }
@@ -350,7 +353,7 @@
     }
 
     fn discard_pending_losses(&mut self, life: &Life) {
-        if let Some(doubt) = self.doubts.swap_remove(life) {
+        if let Some(doubt) = self.pending_losses.swap_remove(life) {
             self.forget_pending(doubt.losses);
         }
     }
@@ -364,8 +367,11 @@
     /// A life of a worker is over: whatever is noted of it has crashed with it, but for starts of
     /// which it is not known yet whether it had carried them out.
     pub(super) fn confirm_crash(&mut self, life: &Life, awaited: &[RunKey], now: Millis) {
-        let awaited: Vec<LossKey> = awaited.iter().map(|&key| self.awaited[&key]).collect();
-        let Some(doubt) = self.doubts.swap_remove(life) else {
+        let awaited: Vec<LossKey> = awaited
+            .iter()
+            .map(|&key| self.awaiting_verdict[&key])
+            .collect();
+        let Some(doubt) = self.pending_losses.swap_remove(life) else {
             return;
         };
         for PendingLoss { loss_key, .. } in doubt.losses {
@@ -378,12 +384,12 @@
     /// It shows later whether a start was carried out by the life that is over.
     pub(super) fn await_verdict(&mut self, key: RunKey) {
         let loss_key = self.loss_key(key);
-        self.awaited.insert(key, loss_key);
+        self.awaiting_verdict.insert(key, loss_key);
     }
 
     /// A run is found in a life of its worker that goes on.
     pub(super) fn note_survival(&mut self, key: RunKey) {
-        if let Some(loss_key) = self.awaited.remove(&key) {
+        if let Some(loss_key) = self.awaiting_verdict.remove(&key) {
             self.forget_loss(loss_key);
         }
     }
@@ -391,14 +397,14 @@
     /// A start whose worker was lost is found nowhere: if it was carried out, then by the life that
     /// is over.
     pub(super) fn start_not_found(&mut self, key: RunKey, now: Millis) {
-        if let Some(loss_key) = self.awaited.remove(&key) {
+        if let Some(loss_key) = self.awaiting_verdict.remove(&key) {
             self.count_crash(loss_key, now);
         }
     }
 
     /// The answer to a start came after its worker had been lost.
     pub(super) fn start_answered_late(&mut self, key: RunKey, outcome: StartOutcome, now: Millis) {
-        let Some(loss_key) = self.awaited.remove(&key) else {
+        let Some(loss_key) = self.awaiting_verdict.remove(&key) else {
             return;
         };
         match outcome {
@@ -444,12 +450,12 @@
     /// proves that they crashed.  A worker that was cut off, drained or removed has none, and nothing is
     /// held against a task for ever.
     pub(super) fn resolve_pending_losses(&mut self, now: Millis) {
-        if self.doubts.is_empty() || self.awaits_list {
+        if self.pending_losses.is_empty() || self.awaits_worker_list {
             return;
         }
         let mut crashed = Vec::new();
         let mut faded = Vec::new();
-        for (life, doubt) in &self.doubts {
+        for (life, doubt) in &self.pending_losses {
             if self.is_over(life, doubt) {
                 crashed.push(life.clone());
             } else if now.saturating_sub(doubt.since) > tuning::VERDICT_WAIT {
--- a/src/cell/evacuation.rs
+++ b/src/cell/evacuation.rs
@@ -13,16 +13,16 @@
 impl Cell {
     /// Nothing is placed until it is known which halls are evacuated.
     pub fn await_evacuated_halls(&mut self) {
-        self.evacuated = None;
+        self.evacuated_halls = None;
     }
 
     /// These halls are evacuated, and no others.
     pub fn set_evacuated_halls(&mut self, halls: &Arc<Halls>) {
-        let known = self.evacuated.as_ref();
+        let known = self.evacuated_halls.as_ref();
         if known.is_some_and(|known| Arc::ptr_eq(known, halls) || known == halls) {
             return;
         }
-        let before = self.evacuated.replace(Arc::clone(halls));
+        let before = self.evacuated_halls.replace(Arc::clone(halls));
         let before = before.unwrap_or_default();
         for hall in halls.difference(&before) {
             self.log_hall(hall, "hall is evacuated");
@@ -46,12 +46,12 @@
 
     /// Tells whether tasks may be placed in the hall of a worker.
     pub(super) fn is_hall_open(&self, key: WorkerKey) -> bool {
-        self.evacuated.is_some() && !self.is_evacuated(&self.workers[key])
+        self.evacuated_halls.is_some() && !self.is_evacuated(&self.workers[key])
     }
 
     /// Tells whether the hall of a worker is known to be evacuated.
     pub(super) fn is_evacuated(&self, worker: &Worker) -> bool {
-        let halls = self.evacuated.as_ref();
+        let halls = self.evacuated_halls.as_ref();
         halls.is_some_and(|halls| !halls.is_empty() && halls.contains(&worker.entry.hall))
     }
 
--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -34,11 +34,11 @@
         predates: bool,
         now: Millis,
     ) {
-        if self.knows(row.id) {
+        if self.knows_job(row.id) {
             return;
         }
-        let unclaimed = self.unclaimed.swap_remove(&row.id);
-        let progress = progress.or(unclaimed.as_ref());
+        let unread_job_progress = self.unread_job_progress.swap_remove(&row.id);
+        let progress = progress.or(unread_job_progress.as_ref());
         let (queue, routed) = match self.config.queue(&row.queue.name) {
             Some(queue) => (queue.clone(), true),
             None => (row.queue.clone(), false),
@@ -63,7 +63,7 @@
             witnessed: false,
             kept_ends: Vec::new(),
             since: now,
-            predates: predates || self.incomplete,
+            predates: predates || self.has_unread_jobs,
             careful: false,
             times: Default::default(),
             dirty: false,
@@ -88,7 +88,7 @@
             self.begin_recorded_times(key, progress);
             self.restore(key, progress, now);
         }
-        if self.forgets_starts {
+        if self.may_have_unrecorded_starts {
             self.mark_careful(key);
         }
         if let Some(state) = self.early_ends.swap_remove(&row.id) {
@@ -136,7 +136,7 @@
     fn will_keep(&self, key: WorkerKey) -> bool {
         self.workers.get(key).is_some_and(|worker| {
             let stays = worker.entry.leaving.is_none() && worker.unlisted_since.is_none();
-            stays && !worker.is_unsure()
+            stays && !worker.has_uncertain_life()
         })
     }
 
@@ -188,13 +188,13 @@
             };
             self.ended.insert(id, ended);
         } else {
-            self.unclaimed.insert(id, progress);
+            self.unread_job_progress.insert(id, progress);
         }
     }
 
     /// Some jobs' rows could not be read, so runs of unknown jobs may be ours.
     pub fn set_incomplete(&mut self, incomplete: bool) {
-        self.incomplete = incomplete;
+        self.has_unread_jobs = incomplete;
     }
 
     /// Makes the steps of one time.
@@ -221,7 +221,7 @@
                 wakes_after: 0,
             });
             keys.push(step_key);
-            self.open.push(step_key);
+            self.open_steps.push(step_key);
         }
         self.jobs[key].times.insert(time, keys);
     }
@@ -249,7 +249,7 @@
 
     /// The next time of a scheduled job, if it is due.
     fn due_time(&self, key: JobKey) -> Option<u32> {
-        let today = self.wall?;
+        let today = self.unix_time?;
         let job = &self.jobs[key];
         let schedule = job.spec.schedule?;
         let next = job.times.len() as u32;
@@ -259,7 +259,7 @@
 
     /// Tells the core the time since 1970 in milliseconds, for scheduled jobs.
     pub fn tell_wall_clock(&mut self, today: Millis) {
-        self.wall = Some(today);
+        self.unix_time = Some(today);
     }
 
     /// After a step is done, makes those ready that waited for it.
@@ -304,7 +304,7 @@
         job.state = state;
         job.dirty = true;
         let steps: Vec<StepKey> = job.times.values().flatten().copied().collect();
-        self.open.retain(|step| !steps.contains(step));
+        self.open_steps.retain(|step| !steps.contains(step));
     }
 
     /// Cancels a job.  Its tasks are stopped when that is recorded.
--- a/src/cell/lapse.rs
+++ b/src/cell/lapse.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::cell::roster::Listing;
+use crate::cell::roster::RosterState;
 use crate::cell::worker::Worker;
 use crate::cell::{Cell, tuning};
 use crate::clock::Millis;
@@ -31,7 +31,7 @@
     /// Tells for how long something may still run on workers that are silent.  From here on
     /// this owner renews no lease there and starts nothing.
     pub fn seal_silent(&mut self, now: Millis) -> RemainingLeases {
-        let settle_by = self.settle_by;
+        let settle_deadline = self.settle_deadline;
         let mut within = BTreeMap::new();
         for worker in self.workers.values_mut().filter(|w| has_unrenewed_lease(w)) {
             worker.sealed = true;
@@ -42,7 +42,7 @@
             let until = if worker.fenced {
                 worker.lease_end
             } else {
-                worker.left_until.min(settle_by)
+                worker.inherited_until.min(settle_deadline)
             };
             if within.len() < MAX_WORKERS {
                 within.insert(worker.entry.life.id.clone(), until.saturating_sub(now));
@@ -61,7 +61,7 @@
         }
         for (id, within) in &lapses.within {
             if let Some(worker) = self.worker_ids.get(id).map(|&key| &mut self.workers[key]) {
-                worker.left_until = now + with_clock_drift(*within);
+                worker.inherited_until = now + with_clock_drift(*within);
             }
         }
     }
@@ -69,7 +69,7 @@
 
 /// Tells whether the worker's lease is not being renewed.
 fn has_unrenewed_lease(worker: &Worker) -> bool {
-    worker.listing != Listing::Absent && (!worker.fenced || worker.is_silent())
+    worker.roster_state != RosterState::Absent && (!worker.fenced || worker.is_silent())
 }
 
 /// The time by our clock in which `time` has passed by any other node's.
--- a/src/cell/ledger.rs
+++ b/src/cell/ledger.rs
@@ -9,7 +9,7 @@
 
 use slotmap::SlotMap;
 
-use crate::cell::roster::LeftWork;
+use crate::cell::roster::InheritedWork;
 use crate::cell::spec::Demand;
 use crate::cell::worker::Worker;
 use crate::cell::{Cell, JobKey, StepKey, WorkspaceKey};
@@ -143,16 +143,16 @@
     }
 
     fn hidden_on(&self, worker: &Worker, now: Millis) -> Hidden {
-        if worker.strangers > 0 || !worker.unread.is_empty() {
+        if worker.unknown_runs > 0 || !worker.unread_jobs.is_empty() {
             return Hidden::Anybody;
         }
-        if self.settled || worker.fenced || now >= worker.left_until {
+        if self.settled || worker.fenced || now >= worker.inherited_until {
             return Hidden::Nobody;
         }
-        match &worker.left {
+        match &worker.inherited {
             None => Hidden::Nobody,
-            Some(LeftWork::Any) => Hidden::Anybody,
-            Some(LeftWork::Jobs(jobs)) => {
+            Some(InheritedWork::Any) => Hidden::Anybody,
+            Some(InheritedWork::Jobs(jobs)) => {
                 let known = |id| self.job_ids.get(id).map(|&key| self.jobs[key].workspace);
                 let Some(workspaces) = jobs.iter().map(known).collect::<Option<Vec<_>>>() else {
                     return Hidden::Anybody;
--- a/src/cell/life.rs
+++ b/src/cell/life.rs
@@ -74,7 +74,7 @@
 impl FormerLives {
     /// How long a former life can matter: its orders may come late, and what they start has the
     /// longest lease.
-    pub const LASTS: Millis = tuning::ORDERS_LATE + Self::LONGEST_LEASE;
+    pub const RELEVANT_FOR: Millis = tuning::ORDERS_LATE + Self::LONGEST_LEASE;
 
     /// The longest lease of a worker, by our clock.
     pub const LONGEST_LEASE: Millis = tuning::LONGEST_LEASE
@@ -82,7 +82,7 @@
         + tuning::LEASE_MARGIN;
 
     /// Those and one more.
-    pub fn and(&self, life: &Life, now: Millis) -> Self {
+    pub fn with(&self, life: &Life, now: Millis) -> Self {
         let kept = self.born.len().min(tuning::LIVES_PER_EPOCH as usize - 1);
         let born = life
             .born
@@ -96,17 +96,17 @@
     }
 
     /// How far above the owner's epoch the present life's lies.
-    pub fn epochs(&self) -> u64 {
+    pub fn epoch_offset(&self) -> u64 {
         self.count.min(tuning::LIVES_PER_EPOCH - 1)
     }
 
     /// Tells whether the present life has no epoch of its own any more.
-    pub fn is_spent(&self) -> bool {
+    pub fn epochs_are_exhausted(&self) -> bool {
         self.count >= tuning::LIVES_PER_EPOCH
     }
 
     /// Tells whether one that another has followed started then: two workers have one id.
-    pub fn have_rival(&self, born: Option<Millis>) -> bool {
+    pub fn were_superseded(&self, born: Option<Millis>) -> bool {
         let followed = self.born.iter().skip(1);
         born.is_some_and(|born| followed.into_iter().any(|&former| former == born))
     }
@@ -114,7 +114,7 @@
     /// Tells whether they matter no more: no late order can reach a further life, and the last one
     /// has seen no epoch but the owner's own.  Others are kept, since a life that comes back
     /// refuses lower ones.
-    pub fn are_past(&self, now: Millis) -> bool {
-        self.count <= 1 && now.saturating_sub(self.since) > Self::LASTS
+    pub fn are_obsolete(&self, now: Millis) -> bool {
+        self.count <= 1 && now.saturating_sub(self.since) > Self::RELEVANT_FOR
     }
 }
--- a/src/cell/look.rs
+++ b/src/cell/look.rs
@@ -32,7 +32,7 @@
         // neither bring back a run that has ended nor hide work that waits for its job.
         let newest = worker.list_heard < order.sequence;
         if newest {
-            worker.forget_lists();
+            worker.clear_listed_state();
         }
         worker.look_sent = order.sequence;
         worker.forgotten_end = worker.forgotten_end.max(order.forget);
@@ -48,11 +48,11 @@
             self.counts.unread_ends += u64::from(has_discarded_ends(worker, look));
             worker.lease_end = 0;
             if may_have_former_life_lease(worker, look) {
-                worker.may_have_longest_lease(now);
+                worker.assume_longest_lease(now);
             }
             // A former owner may have renewed the lease just now: without this a task was
             // started again 0.4 s before its first run could be over.
-            worker.lease_sent(now, tuning::LEASE);
+            worker.extend_lease(now, tuning::LEASE);
             tracing::debug!(
                 worker = %worker.entry.life,
                 epoch = order.to.epoch,
@@ -65,7 +65,7 @@
         self.process_ends(key, &look.ended, now);
         let listed = self.process_running(order, look, newest, now);
         let worker = &mut self.workers[key];
-        worker.listed_whole |= newest && !worker.more_ends && worker.unread.is_empty();
+        worker.listed_whole |= newest && !worker.more_ends && worker.unread_jobs.is_empty();
         self.remove_unlisted(key, order, look.clock, &listed, now);
         self.unpark_unless_idle(key, now);
     }
@@ -89,7 +89,7 @@
                         "worker does not answer"
                     );
                 }
-                worker.fall_silent(now);
+                worker.mark_silent(now);
             }
         }
     }
@@ -104,9 +104,9 @@
         let mut held: Option<&EndEntry> = None;
         for end in ends {
             if self.is_unread(end.task) {
-                self.workers[key].unread.insert(end.task.step.job);
+                self.workers[key].unread_jobs.insert(end.task.step.job);
                 held = held.or(Some(end));
-            } else if self.workers[key].take_place(end.place) {
+            } else if self.workers[key].accept_end(end.place) {
                 self.process_end(key, end, now);
             }
         }
@@ -117,7 +117,7 @@
         let worker = &mut self.workers[key];
         worker.holds_ends |= held.is_some();
         worker.more_ends |= ends.len() >= tuning::MOST_ENDS_LISTED;
-        worker.pass_ends(forgettable.unwrap_or_default());
+        worker.accept_ends_up_to(forgettable.unwrap_or_default());
         match held {
             Some(first) if worker.held_end != first.place => {
                 worker.held_end = first.place;
@@ -145,7 +145,7 @@
     fn is_unread(&self, task: TaskName) -> bool {
         let id = task.step.job;
         let Some(job) = self.job_ids.get(&id).and_then(|&key| self.jobs.get(key)) else {
-            return self.incomplete && !self.knows(id);
+            return self.has_unread_jobs && !self.knows_job(id);
         };
         let time = task.step.time;
         let comes = job
@@ -220,7 +220,7 @@
             }
         }
         if newest {
-            self.workers[key].strangers = strangers;
+            self.workers[key].unknown_runs = strangers;
         }
         listed
     }
@@ -230,7 +230,7 @@
     fn stop_unknown_run(&mut self, worker: WorkerKey, task: TaskName, number: u64) {
         if self.is_unread(task) {
             let worker = &mut self.workers[worker];
-            worker.unread.insert(task.step.job);
+            worker.unread_jobs.insert(task.step.job);
             worker.has_unread_runs = true;
             return;
         }
@@ -333,7 +333,7 @@
             let is_inherited = run.sent_to != key;
             let over = match run.phase {
                 // It refuses by now what was meant for the former life.
-                _ if is_inherited => self.workers[key].rest_until <= now,
+                _ if is_inherited => self.workers[key].quarantined_until <= now,
                 Phase::Planned | Phase::Sent => false,
                 Phase::Running => run.begun.is_some_and(|heard| heard < sent),
                 Phase::Doubtful => {
@@ -364,14 +364,14 @@
 /// Tells whether a life may have a lease that was meant for the clock of a former one, of this owner
 /// or another: a late start gives it, also one that is refused.
 fn may_have_former_life_lease(worker: &Worker, look: &Look) -> bool {
-    let is_young = look.born.is_some() && look.clock <= FormerLives::LASTS;
-    is_young || worker.former.epochs() > 0
+    let is_young = look.born.is_some() && look.clock <= FormerLives::RELEVANT_FOR;
+    is_young || worker.former.epoch_offset() > 0
 }
 
 /// Tells whether a life that has not answered before has forgotten ends: they are numbered from one.
 fn has_discarded_ends(worker: &Worker, look: &Look) -> bool {
     let is_next = |end: &EndEntry| end.place <= worker.seen_end + 1;
-    let missing = worker.former.epochs() > 0 && !look.ended.first().is_none_or(is_next);
+    let missing = worker.former.epoch_offset() > 0 && !look.ended.first().is_none_or(is_next);
     if missing {
         tracing::error!(worker = %worker.entry.life, first = look.ended[0].place, "a worker has forgotten ends that nobody has read");
     }
--- a/src/cell/lost.rs
+++ b/src/cell/lost.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::cell::roster::{Listing, RosterEntry};
+use crate::cell::roster::{RosterEntry, RosterState};
 use crate::cell::sequence::Sequence;
 use crate::cell::{Cell, WorkerKey};
 
@@ -37,8 +37,8 @@
     /// started.
     pub(super) fn keep_lost_life(&mut self, key: WorkerKey) {
         let worker = &self.workers[key];
-        let hides_starts = worker.may_hide_starts();
-        if worker.listing != Listing::Absent {
+        let hides_starts = worker.may_have_unknown_starts();
+        if worker.roster_state != RosterState::Absent {
             let entry = RosterEntry {
                 jobs: None,
                 long_lease: false,
@@ -55,14 +55,14 @@
     fn keep_in_roster(&mut self, entry: RosterEntry, forgets: bool) {
         let noted = self.next_sequence();
         let id = &entry.worker.life.id;
-        let mut kept = self.lost.iter_mut();
+        let mut kept = self.ended_lives.iter_mut();
         match kept.find(|kept| kept.entry.worker.life.id == *id) {
             // What is being recorded for the life before does not cover this one.
             Some(kept) => {
                 kept.noted = noted;
                 kept.forgets |= forgets;
             }
-            None => self.lost.push(EndedLife {
+            None => self.ended_lives.push(EndedLife {
                 entry,
                 noted,
                 forgets,
@@ -83,7 +83,7 @@
 
     /// The entry of a life of this id that is over and stays in the roster.
     pub(super) fn lost_entry_of(&self, id: &str) -> Option<&RosterEntry> {
-        let mut entries = self.lost.iter().map(|kept| &kept.entry);
+        let mut entries = self.ended_lives.iter().map(|kept| &kept.entry);
         entries.find(|entry| entry.worker.life.id == id)
     }
 
@@ -92,7 +92,7 @@
         &self,
         is_used: impl Fn(&str) -> bool,
     ) -> impl Iterator<Item = &RosterEntry> {
-        let entries = self.lost.iter().map(|kept| &kept.entry);
+        let entries = self.ended_lives.iter().map(|kept| &kept.entry);
         entries.filter(move |entry| !is_used(&entry.worker.life.id))
     }
 
@@ -100,18 +100,18 @@
     /// are not read yet have no mark to be recorded.
     pub(super) fn lives_to_release(&self) -> Vec<Sequence> {
         let told = self
-            .lost
+            .ended_lives
             .iter()
-            .filter(|kept| !kept.forgets || !self.incomplete);
+            .filter(|kept| !kept.forgets || !self.has_unread_jobs);
         told.map(|kept| kept.noted).collect()
     }
 
     /// What is noted of these lives is durable, so they leave the roster.
     pub(super) fn release_lives(&mut self, told: &[Sequence]) {
         let is_told = |kept: &mut EndedLife| told.contains(&kept.noted);
-        for kept in self.lost.extract_if(.., is_told) {
+        for kept in self.ended_lives.extract_if(.., is_told) {
             self.roster_changes.insert(kept.entry.worker.life.id);
-            self.roster += 1;
+            self.roster_version += 1;
         }
     }
 }
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -34,12 +34,12 @@
 impl Cell {
     /// Nothing is placed until the platform's list of workers has come.
     pub fn await_list(&mut self) {
-        self.awaits_list = true;
+        self.awaits_worker_list = true;
     }
 
     /// The platform lists these workers now, all of them.
     pub fn list_workers(&mut self, entries: Vec<WorkerEntry>, now: Millis) {
-        self.awaits_list = false;
+        self.awaits_worker_list = false;
         for worker in self.workers.values_mut() {
             worker.unlisted_since.get_or_insert(now);
         }
@@ -82,7 +82,7 @@
             tracing::info!(worker = entry.life.id, remaining = ?entry.leaving, "worker leaves");
         }
         worker.unlisted_since = None;
-        worker.distrusted = false;
+        worker.entry_outdated = false;
         worker.next = None;
         let born = entry.life.born.or(worker.entry.life.born);
         worker.entry = entry;
@@ -96,7 +96,7 @@
         let mut worker = Worker::new(entry);
         worker.listed = self.next_sequence();
         worker.leaving_since = worker.entry.leaving.map(|_| now);
-        worker.follow(self.former_lives.swap_remove(&id).unwrap_or_default(), now);
+        worker.set_former_lives(self.former_lives.swap_remove(&id).unwrap_or_default(), now);
         let key = self.workers.insert(worker);
         self.worker_ids.insert(id, key);
     }
@@ -139,8 +139,8 @@
     ) -> bool {
         let key = order.to.worker;
         let worker = &mut self.workers[key];
-        if !worker.is_other_than(look.born) {
-            worker.is_life(look.born);
+        if !worker.is_different_life(look.born) {
+            worker.confirm_life(look.born);
             // The worker says so later than the platform listed another one.
             worker.next.take_if(|next| next.listed < order.sequence);
             return false;
@@ -157,7 +157,7 @@
             "another life of the worker answers"
         );
         self.counts.other_lives += 1;
-        if worker.is_blank() {
+        if worker.is_pristine() {
             self.change_blank_life(key, look.born, now);
             return false;
         }
@@ -173,8 +173,8 @@
         let former = worker.entry.life.clone();
         self.keep_lost_life(key);
         let worker = &mut self.workers[key];
-        worker.become_life(born, now);
-        worker.is_life(born);
+        worker.switch_to_life(born, now);
+        worker.confirm_life(born);
         self.confirm_crash(&former, &[], now);
     }
 
@@ -187,14 +187,14 @@
         let key = order.to.worker;
         let mut next = Worker::next_life(&self.workers[key], look.born, now);
         next.listed = self.next_sequence();
-        if next.former.have_rival(look.born) {
+        if next.former.were_superseded(look.born) {
             self.counts.rival_lives += 1;
             tracing::error!(worker = %next.entry.life, "a former life of the worker answers again: two workers have one id");
         }
         let (listed, open) = self.runs_of_next_life(order, look);
         if !open.is_empty() || !listed.is_empty() {
             // A late start may begin there, and its time was meant for the former clock.
-            next.lease_end = now + FormerLives::LASTS;
+            next.lease_end = now + FormerLives::RELEVANT_FOR;
         }
         let next_key = self.workers.insert(next);
         for run in listed {
@@ -262,7 +262,7 @@
     pub fn distrust_worker(&mut self, id: &str, now: Millis) {
         if let Some(&key) = self.worker_ids.get(id) {
             let worker = &mut self.workers[key];
-            worker.distrusted = true;
+            worker.entry_outdated = true;
             worker.unlisted_since.get_or_insert(now);
             self.unpark_unless_idle(key, now);
         }
@@ -312,14 +312,15 @@
         }
         let worker = self.workers.remove(key)?;
         if worker.parked {
-            self.is_gone_from_park(key);
+            self.remove_parked(key);
         }
         let id = &worker.entry.life.id;
         self.worker_ids.swap_remove(id);
-        self.roster += 1;
+        self.roster_version += 1;
         self.roster_changes.insert(id.clone());
-        self.former_lives.retain(|_, former| !former.are_past(now));
-        let former = worker.former.and(&worker.entry.life, now);
+        self.former_lives
+            .retain(|_, former| !former.are_obsolete(now));
+        let former = worker.former.with(&worker.entry.life, now);
         self.former_lives.insert(id.clone(), former);
         Some(worker)
     }
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wait {
     /// What it waited for.
-    pub what: Waited,
+    pub until: Milestone,
     /// The priority of its queue.
     pub priority: u32,
     /// How long, since the job was taken in.
@@ -131,7 +131,7 @@
 
 /// What a job has waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waited {
+pub enum Milestone {
     /// Its first start.
     FirstStart,
     /// Its end.
@@ -149,43 +149,43 @@
     workers: SlotMap<WorkerKey, Worker>,
     worker_ids: IndexMap<String, WorkerKey>,
     /// Rises whenever the roster changes: the workers that a successor must know of.
-    roster: u64,
+    roster_version: u64,
     /// The ids of workers whose entries in it have changed and were not handed on to be recorded.
     roster_changes: IndexSet<String>,
     /// The version of the roster that is recorded.
-    roster_recorded: u64,
+    recorded_roster_version: u64,
     jobs: SlotMap<JobKey, Job>,
     job_ids: IndexMap<JobId, JobKey>,
     /// Jobs that ended under a former owner.
     ended: IndexMap<JobId, EndedJob>,
     /// Recorded progress of jobs whose rows could not be read yet.
-    unclaimed: IndexMap<JobId, record::Progress>,
+    unread_job_progress: IndexMap<JobId, record::Progress>,
     /// Ends that other nodes told of, of jobs whose rows were not read yet.
     early_ends: IndexMap<JobId, JobState>,
     /// What must be known of the lives of a worker that is not there, by its id.
     former_lives: IndexMap<String, FormerLives>,
     /// Runs that may have crashed a life of a worker.
-    doubts: IndexMap<Life, crash::PendingLosses>,
+    pending_losses: IndexMap<Life, crash::PendingLosses>,
     /// Starts whose worker was lost before it was known whether it had carried them out.  Their runs
     /// may be gone, and others have their places.
-    awaited: BTreeMap<RunKey, crash::LossKey>,
+    awaiting_verdict: BTreeMap<RunKey, crash::LossKey>,
     /// Runs whose start is recorded before it is sent.
     planned: Vec<RunKey>,
     /// Starts of jobs that a former owner knew may be forgotten.
-    forgets_starts: bool,
+    may_have_unrecorded_starts: bool,
     /// Lives that are over and stay in the roster until what is noted of them is recorded.
-    lost: Vec<lost::EndedLife>,
-    incomplete: bool,
+    ended_lives: Vec<lost::EndedLife>,
+    has_unread_jobs: bool,
     /// Jobs that run at set times and have not ended.
     scheduled: Vec<JobKey>,
     steps: SlotMap<StepKey, StepRun>,
     runs: SlotMap<RunKey, Run>,
     /// Processors that the runs of each queue hold, in millicores.
-    held: BTreeMap<String, u64>,
+    held_millicores: BTreeMap<String, u64>,
     /// What each workspace has running.
     ledger: Ledger,
     /// Steps that are not done, in the order in which they were taken in.
-    open: Vec<StepKey>,
+    open_steps: Vec<StepKey>,
     /// Which lanes to the advice service are in use by which kind of question.
     lanes: Vec<advice::Lane>,
     /// How far callers' guesses are off, by queue.
@@ -193,14 +193,14 @@
     /// The share of workers that is good for a step, learned by queue.
     good_share: BTreeMap<String, f64>,
     /// Milliseconds since 1970, once told.
-    wall: Option<Millis>,
+    unix_time: Option<Millis>,
     /// The platform's list of workers has not come yet, so nothing is placed: a worker of the
     /// roster may be about to leave, or be gone.
-    awaits_list: bool,
+    awaits_worker_list: bool,
     /// Halls in which nothing starts; none while they are not known, and then nothing is placed.
-    evacuated: Option<Arc<Halls>>,
+    evacuated_halls: Option<Arc<Halls>>,
     /// So many idle workers of each service stay awake.
-    most_idle: usize,
+    idle_reserve: usize,
     /// How many workers are parked.
     parked: usize,
     /// When it was last looked whether workers are to be parked or woken.
@@ -208,14 +208,14 @@
     /// Workers that were woken, or were lost while they were parked.
     unparked: Vec<WorkerKey>,
     /// The former owner's roster was read whole.
-    roster_is_whole: bool,
+    roster_is_complete: bool,
     /// Tasks of former owners' jobs may start.
     settled: bool,
     /// Until then, what a former owner may have left running.
-    unsettled: roster::Unsettled,
-    settle_by: Millis,
+    unsettled: roster::UnsettledJobs,
+    settle_deadline: Millis,
     orders: Vec<Order>,
-    waits: Vec<Wait>,
+    job_waits: Vec<Wait>,
     /// What waited for what in the last round of decisions.
     waiting: Waiting,
     counts: Counts,
@@ -233,43 +233,43 @@
             policy: Arc::new(BuiltIn),
             workers: SlotMap::with_key(),
             worker_ids: IndexMap::new(),
-            roster: 1,
+            roster_version: 1,
             roster_changes: IndexSet::new(),
-            roster_recorded: 0,
+            recorded_roster_version: 0,
             jobs: SlotMap::with_key(),
             job_ids: IndexMap::new(),
             ended: IndexMap::new(),
-            unclaimed: IndexMap::new(),
+            unread_job_progress: IndexMap::new(),
             early_ends: IndexMap::new(),
             former_lives: IndexMap::new(),
-            doubts: IndexMap::new(),
-            awaited: BTreeMap::new(),
+            pending_losses: IndexMap::new(),
+            awaiting_verdict: BTreeMap::new(),
             planned: Vec::new(),
-            forgets_starts: false,
-            lost: Vec::new(),
-            incomplete: false,
+            may_have_unrecorded_starts: false,
+            ended_lives: Vec::new(),
+            has_unread_jobs: false,
             scheduled: Vec::new(),
             steps: SlotMap::with_key(),
             runs: SlotMap::with_key(),
-            held: BTreeMap::new(),
+            held_millicores: BTreeMap::new(),
             ledger: Ledger::default(),
-            open: Vec::new(),
+            open_steps: Vec::new(),
             lanes: Vec::new(),
             guesses: BTreeMap::new(),
             good_share: BTreeMap::new(),
-            wall: None,
-            awaits_list: false,
-            evacuated: Some(Arc::default()),
-            most_idle: tuning::MOST_IDLE,
+            unix_time: None,
+            awaits_worker_list: false,
+            evacuated_halls: Some(Arc::default()),
+            idle_reserve: tuning::MOST_IDLE,
             parked: 0,
             parking_reviewed: 0,
             unparked: Vec::new(),
-            roster_is_whole: true,
+            roster_is_complete: true,
             settled: false,
-            unsettled: roster::Unsettled::Any,
-            settle_by: now + window + tuning::LEASE_MARGIN + tuning::OWNER_WINDOW,
+            unsettled: roster::UnsettledJobs::Any,
+            settle_deadline: now + window + tuning::LEASE_MARGIN + tuning::OWNER_WINDOW,
             orders: Vec::new(),
-            waits: Vec::new(),
+            job_waits: Vec::new(),
             waiting: Waiting::new(),
             counts: Counts::default(),
         }
@@ -292,14 +292,14 @@
 
     /// Takes the waiting times that have gathered.
     pub fn take_waits(&mut self) -> Vec<Wait> {
-        std::mem::take(&mut self.waits)
+        std::mem::take(&mut self.job_waits)
     }
 
     /// Notes how long a job has waited.
-    fn note_wait(&mut self, key: JobKey, what: Waited, now: Millis) {
+    fn record_wait(&mut self, key: JobKey, until: Milestone, now: Millis) {
         let job = &self.jobs[key];
-        self.waits.push(Wait {
-            what,
+        self.job_waits.push(Wait {
+            until,
             priority: job.queue.priority,
             time: now.saturating_sub(job.since),
         });
@@ -369,7 +369,7 @@
     }
 
     /// Tells whether a job is known, ended ones included.
-    pub fn knows(&self, id: JobId) -> bool {
+    pub fn knows_job(&self, id: JobId) -> bool {
         self.job_ids.contains_key(&id) || self.ended.contains_key(&id)
     }
 
@@ -483,7 +483,7 @@
             worker: key,
             life: worker.entry.life.clone(),
             address: worker.address(),
-            epoch: self.epoch + worker.former.epochs(),
+            epoch: self.epoch + worker.former.epoch_offset(),
         }
     }
 
@@ -493,15 +493,15 @@
         let look_wait = self.look_wait();
         let worker = self.workers.get(key)?;
         let ends = worker.next_forget(now);
-        let waits = ends != NextForget::AfterAnother && worker.seen_end == worker.recorded_end;
-        let lasting_silence = worker.is_unsure() || !worker.has_late_clock(now);
+        let waits = ends != NextForget::Deferred && worker.seen_end == worker.recorded_end;
+        let lasting_silence = worker.has_uncertain_life() || !worker.has_recent_clock(now);
         let order = LookOrder {
             to: self.addressee(key),
             sequence,
             sent: now,
             forget: match ends {
                 NextForget::UpTo(place) => place,
-                NextForget::Nothing | NextForget::AfterAnother => 0,
+                NextForget::Nothing | NextForget::Deferred => 0,
             },
             due: match worker.clock_at(now) {
                 Some(clock) if !lasting_silence && !worker.sealed => Some(clock + tuning::LEASE),
@@ -514,9 +514,9 @@
             },
         };
         let worker = &mut self.workers[key];
-        worker.is_asked_again = ends == NextForget::AfterAnother;
+        worker.forget_deferred = ends == NextForget::Deferred;
         if order.due.is_some() {
-            worker.lease_sent(now, tuning::LEASE);
+            worker.extend_lease(now, tuning::LEASE);
         }
         Some(order)
     }
@@ -529,7 +529,7 @@
     }
 
     /// Tells whether ends of this worker wait to be recorded; it would list them again at once.
-    pub fn unrecorded(&self, key: WorkerKey) -> bool {
+    pub fn has_unrecorded_ends(&self, key: WorkerKey) -> bool {
         let worker = self.workers.get(key);
         worker.is_some_and(|worker| worker.seen_end > worker.recorded_end)
     }
--- a/src/cell/parking.rs
+++ b/src/cell/parking.rs
@@ -1,4 +1,4 @@
-//! Idle workers that are parked.
+//! IdleWorkers workers that are parked.
 //!
 //! Nothing runs on a parked worker, so it is not looked at and not in the roster, and neither the
 //! owner nor its successor spends anything on it.  So what an owner does follows the work that there
@@ -15,21 +15,21 @@
 
 /// The idle workers of one service, by rank.
 #[derive(Default)]
-struct Idle {
+struct IdleWorkers {
     awake: Vec<(u64, WorkerKey)>,
     parked: Vec<(u64, WorkerKey)>,
 }
 
 impl Cell {
     /// Keeps so many idle workers of each service awake.
-    pub fn keep_awake(&mut self, most_idle: usize) {
-        self.most_idle = most_idle;
+    pub fn set_idle_reserve(&mut self, idle_reserve: usize) {
+        self.idle_reserve = idle_reserve;
     }
 
     /// The former owner's roster could not be read whole: a worker that is not in what was read may
     /// run something, so none is parked before it has answered.
-    pub fn doubt_roster(&mut self) {
-        self.roster_is_whole = false;
+    pub fn mark_roster_incomplete(&mut self) {
+        self.roster_is_complete = false;
         self.assume_unrecorded_starts();
     }
 
@@ -54,9 +54,9 @@
     /// The same at once: all workers of a new list would be looked at otherwise.
     pub(super) fn adjust_parking(&mut self, now: Millis) {
         self.parking_reviewed = now;
-        let mut services: BTreeMap<&str, Idle> = BTreeMap::new();
+        let mut services: BTreeMap<&str, IdleWorkers> = BTreeMap::new();
         for (key, worker) in &self.workers {
-            if self.is_evacuated(worker) || !(worker.parked || self.is_spare(worker, now)) {
+            if self.is_evacuated(worker) || !(worker.parked || self.is_parkable(worker, now)) {
                 continue;
             }
             let idle = services.entry(&worker.entry.service).or_default();
@@ -68,14 +68,14 @@
         }
         for mut idle in services.into_values().collect::<Vec<_>>() {
             let awake = idle.awake.len();
-            if awake > self.most_idle {
+            if awake > self.idle_reserve {
                 idle.awake.sort_unstable();
-                for (_, key) in idle.awake.split_off(self.most_idle) {
+                for (_, key) in idle.awake.split_off(self.idle_reserve) {
                     self.park(key, now);
                 }
-            } else if awake < self.most_idle.div_ceil(2) {
+            } else if awake < self.idle_reserve.div_ceil(2) {
                 idle.parked.sort_unstable();
-                idle.parked.truncate(self.most_idle - awake);
+                idle.parked.truncate(self.idle_reserve - awake);
                 for (_, key) in idle.parked {
                     self.unpark(key, now);
                 }
@@ -84,14 +84,15 @@
     }
 
     /// Tells whether a worker is idle, and its owner knows that nothing runs there.
-    fn is_spare(&self, worker: &Worker, now: Millis) -> bool {
-        let is_known = worker.fenced || (worker.left.is_none() && self.roster_is_whole);
-        is_known && worker.is_idle() && worker.rest_until <= now
+    fn is_parkable(&self, worker: &Worker, now: Millis) -> bool {
+        let is_known = worker.fenced || (worker.inherited.is_none() && self.roster_is_complete);
+        is_known && worker.is_idle() && worker.quarantined_until <= now
     }
 
     fn park(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
-        let was_woken_lately = worker.woken > 0 && now < worker.woken + tuning::AWAKE_FOR;
+        let was_woken_lately =
+            worker.unparked_at > 0 && now < worker.unparked_at + tuning::AWAKE_FOR;
         if !was_woken_lately {
             worker.parked = true;
             self.parked += 1;
@@ -103,7 +104,7 @@
         let worker = &mut self.workers[key];
         if worker.parked {
             worker.parked = false;
-            worker.woken = now;
+            worker.unparked_at = now;
             self.parked -= 1;
             self.unparked.push(key);
         }
@@ -117,7 +118,7 @@
     }
 
     /// A worker is gone; whoever waits for it to be woken finds that out.
-    pub(super) fn is_gone_from_park(&mut self, key: WorkerKey) {
+    pub(super) fn remove_parked(&mut self, key: WorkerKey) {
         self.parked -= 1;
         self.unparked.push(key);
     }
@@ -127,7 +128,7 @@
     ///
     /// A step that waits long asks in each round, and to look through the workers each time would take
     /// most of a full cell's rounds.
-    pub(super) fn unpark_for(&mut self, key: StepKey, tasks: u32, now: Millis) {
+    pub(super) fn unpark_for_step(&mut self, key: StepKey, tasks: u32, now: Millis) {
         let step = &mut self.steps[key];
         if self.parked == 0 || now < step.wakes_after {
             return;
@@ -188,7 +189,7 @@
 
     fn is_waking(&self, key: WorkerKey, now: Millis) -> bool {
         let worker = &self.workers[key];
-        let is_new = worker.woken > 0 && now < worker.woken + tuning::WAKES_WITHIN;
+        let is_new = worker.unparked_at > 0 && now < worker.unparked_at + tuning::WAKES_WITHIN;
         is_new && !self.takes_work(key, now)
     }
 }
--- a/src/cell/plan.rs
+++ b/src/cell/plan.rs
@@ -20,18 +20,18 @@
     /// A life that the former owner may have used is over, or unheard for good: what it had started
     /// there, and not recorded, is forgotten.  So it is of jobs that are not read yet.
     pub(super) fn assume_unrecorded_starts(&mut self) {
-        if self.forgets_starts {
+        if self.may_have_unrecorded_starts {
             // Jobs that were taken in since are marked already.
             return;
         }
-        self.forgets_starts = true;
+        self.may_have_unrecorded_starts = true;
         for key in self.jobs.keys().collect::<Vec<_>>() {
             self.mark_careful(key);
         }
         tracing::info!(
             epoch = self.epoch,
             jobs = self.jobs.len(),
-            some_are_unread = self.incomplete,
+            some_are_unread = self.has_unread_jobs,
             "starts of a former owner may be forgotten"
         );
     }
@@ -102,7 +102,7 @@
     fn is_trial_telling(&self, key: RunKey, now: Millis) -> bool {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
-        !run.trial || step.step().gang || self.workers[run.worker].was_heard_lately(true, now)
+        !run.trial || step.step().gang || self.workers[run.worker].was_heard_recently(true, now)
     }
 
     /// Tells whether a planned start can still be sent, to each member of its gang.
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -9,7 +9,7 @@
 use crate::cell::job::{JobState, KeptEnd};
 use crate::cell::sequence::Sequence;
 use crate::cell::spec::{JobId, JobSpec};
-use crate::cell::{Cell, JobKey, StepKey, Waited, WorkerKey};
+use crate::cell::{Cell, JobKey, Milestone, StepKey, WorkerKey};
 use crate::clock::Millis;
 use crate::queue::Queue;
 use crate::workspace::Workspace;
@@ -161,7 +161,7 @@
                 }
             }
             if progress.state.is_final() {
-                self.note_wait(key, Waited::End, now);
+                self.record_wait(key, Milestone::End, now);
                 self.close_job(key, now);
             }
         }
@@ -260,7 +260,7 @@
         for time in times {
             self.make_ready(key, time);
         }
-        self.open.retain(|&step| self.steps[step].open > 0);
+        self.open_steps.retain(|&step| self.steps[step].open > 0);
         self.finish_if_done(key);
     }
 }
--- a/src/cell/roster.rs
+++ b/src/cell/roster.rs
@@ -46,19 +46,19 @@
 
 /// How a worker stands in the roster.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Listing {
+pub enum RosterState {
     /// It is not in it: nothing runs there.
     #[default]
     Absent,
     /// Anything may run there.
-    Usable,
+    AnyJob,
     /// Only the jobs that are named may run there.
-    Named,
+    NamedJobs,
 }
 
 /// What a former owner may have left on a worker that has not answered us yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LeftWork {
+pub enum InheritedWork {
     /// Tasks of any job.
     Any,
     /// Tasks of these jobs.
@@ -67,16 +67,16 @@
 
 /// Jobs of which a former owner may have left runs that we do not know of.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unsettled {
+pub enum UnsettledJobs {
     /// Any job that it knew.
     Any,
     /// Only these.
     Jobs(BTreeSet<JobId>),
 }
 
-impl Unsettled {
+impl UnsettledJobs {
     /// Tells whether runs of the job may go on unknown to us.
-    pub fn covers(&self, id: JobId) -> bool {
+    pub fn contains(&self, id: JobId) -> bool {
         match self {
             Self::Any => true,
             Self::Jobs(jobs) => jobs.contains(&id),
@@ -89,12 +89,12 @@
     /// worker, or wait its lease out.
     pub fn roster(&self) -> (u64, Vec<RosterEntry>) {
         let workers = self.workers.values();
-        let listed = workers.filter(|worker| worker.listing != Listing::Absent);
+        let listed = workers.filter(|worker| worker.roster_state != RosterState::Absent);
         let present = listed.map(|worker| self.roster_entry(worker));
         let lost = self.lost_entries(|id| self.is_in_roster(id)).cloned();
         let mut entries: Vec<RosterEntry> = present.chain(lost).collect();
         entries.sort_unstable_by(|a, b| a.worker.life.id.cmp(&b.worker.life.id));
-        (self.roster, entries)
+        (self.roster_version, entries)
     }
 
     /// The version of the roster, and what has changed in it since that was last asked.  At any
@@ -105,7 +105,7 @@
             entry: self.roster_entry_of(&id),
             id,
         });
-        (self.roster, changes.collect())
+        (self.roster_version, changes.collect())
     }
 
     fn roster_entry_of(&self, id: &str) -> Option<RosterEntry> {
@@ -119,7 +119,7 @@
     /// Tells whether the present life of a worker is in the roster.
     fn is_in_roster(&self, id: &str) -> bool {
         let worker = self.worker_ids.get(id).map(|&key| &self.workers[key]);
-        worker.is_some_and(|worker| worker.listing != Listing::Absent)
+        worker.is_some_and(|worker| worker.roster_state != RosterState::Absent)
     }
 
     fn roster_entry(&self, worker: &Worker) -> RosterEntry {
@@ -134,10 +134,10 @@
     }
 
     fn named_jobs(&self, worker: &Worker) -> Option<Vec<JobId>> {
-        if worker.listing != Listing::Named {
+        if worker.roster_state != RosterState::NamedJobs {
             return None;
         }
-        if let (false, Some(LeftWork::Jobs(jobs))) = (worker.fenced, &worker.left) {
+        if let (false, Some(InheritedWork::Jobs(jobs))) = (worker.fenced, &worker.inherited) {
             return Some(jobs.clone());
         }
         let mut jobs: Vec<JobId> = worker
@@ -152,40 +152,40 @@
 
     /// The version of the roster.
     pub fn roster_version(&self) -> u64 {
-        self.roster
+        self.roster_version
     }
 
     /// The roster of this version is durable; the workers in it may be used.
-    pub fn roster_is_recorded(&mut self, version: u64) {
-        self.roster_recorded = self.roster_recorded.max(version);
+    pub fn mark_roster_recorded(&mut self, version: u64) {
+        self.recorded_roster_version = self.recorded_roster_version.max(version);
     }
 
     /// Brings the roster up to date.
     pub(super) fn update_roster(&mut self, now: Millis) {
         for worker in self.workers.values_mut() {
-            let has_long_lease = now < worker.long_until;
+            let has_long_lease = now < worker.long_lease_until;
             if has_long_lease != worker.has_long_lease {
                 worker.has_long_lease = has_long_lease;
-                self.roster += 1;
+                self.roster_version += 1;
                 self.roster_changes.insert(worker.entry.life.id.clone());
                 if has_long_lease {
                     // Nothing starts there before a successor would know.
-                    worker.rostered = self.roster;
+                    worker.roster_state_version = self.roster_version;
                 }
             }
-            let wanted = wanted_listing(worker, self.settled, now);
-            if wanted == worker.listing {
+            let wanted = target_roster_state(worker, self.settled, now);
+            if wanted == worker.roster_state {
                 continue;
             }
-            self.roster += 1;
+            self.roster_version += 1;
             self.roster_changes.insert(worker.entry.life.id.clone());
-            worker.listing = wanted;
-            worker.rostered = self.roster;
+            worker.roster_state = wanted;
+            worker.roster_state_version = self.roster_version;
         }
     }
 
     /// A former owner may have used these workers.
-    pub fn list_former_workers(&mut self, entries: Vec<RosterEntry>, now: Millis) {
+    pub fn restore_roster(&mut self, entries: Vec<RosterEntry>, now: Millis) {
         for entry in entries {
             if entry.lost.is_some() {
                 self.inherit_lost_life(&entry);
@@ -205,13 +205,13 @@
                 let worker = &mut self.workers[key];
                 // What is recorded stays so until we have looked: a roster that we record
                 // before, or as we give the cell up, must not leave the worker out.
-                worker.listing = match jobs {
-                    Some(_) => Listing::Named,
-                    None => Listing::Usable,
+                worker.roster_state = match jobs {
+                    Some(_) => RosterState::NamedJobs,
+                    None => RosterState::AnyJob,
                 };
-                worker.left = Some(jobs.map_or(LeftWork::Any, LeftWork::Jobs));
+                worker.inherited = Some(jobs.map_or(InheritedWork::Any, InheritedWork::Jobs));
                 if long_lease {
-                    worker.long_until = now + FormerLives::LONGEST_LEASE;
+                    worker.long_lease_until = now + FormerLives::LONGEST_LEASE;
                 }
             }
         }
@@ -219,10 +219,10 @@
 
     /// Tells whether a task may be placed on a worker at all: a successor would know.
     pub(super) fn takes_work(&self, key: WorkerKey, now: Millis) -> bool {
-        !self.awaits_list
+        !self.awaits_worker_list
             && self.workers.get(key).is_some_and(|worker| {
-                let recorded = worker.rostered <= self.roster_recorded;
-                worker.listing == Listing::Usable && recorded && worker.takes_work(now)
+                let recorded = worker.roster_state_version <= self.recorded_roster_version;
+                worker.roster_state == RosterState::AnyJob && recorded && worker.takes_work(now)
             })
             && self.is_hall_open(key)
     }
@@ -231,9 +231,9 @@
     pub(super) fn will_take_work(&self, key: WorkerKey, now: Millis) -> bool {
         self.workers.get(key).is_some_and(|worker| {
             let leaves = worker.entry.leaving.is_some() || worker.is_gone(now);
-            let is_sound = !worker.distrusted && !worker.parked;
-            let stays = !leaves && is_sound && worker.rest_until <= now;
-            worker.listing == Listing::Usable && stays && !worker.is_unsure()
+            let is_sound = !worker.entry_outdated && !worker.parked;
+            let stays = !leaves && is_sound && worker.quarantined_until <= now;
+            worker.roster_state == RosterState::AnyJob && stays && !worker.has_uncertain_life()
         }) && self.is_hall_open(key)
     }
 
@@ -244,60 +244,60 @@
             return;
         }
         self.unsettled = self.find_unsettled(now);
-        let fenced = self.unsettled == Unsettled::Jobs(BTreeSet::new());
-        if !fenced && now < self.settled_by() {
+        let fenced = self.unsettled == UnsettledJobs::Jobs(BTreeSet::new());
+        if !fenced && now < self.latest_settle_deadline() {
             return;
         }
         self.settled = true;
         let workers = self.workers.iter();
-        let unheard = workers.filter(|(_, worker)| !worker.fenced && worker.left.is_some());
+        let unheard = workers.filter(|(_, worker)| !worker.fenced && worker.inherited.is_some());
         for key in unheard.map(|(key, _)| key).collect::<Vec<_>>() {
             self.keep_lost_life(key);
         }
-        self.unsettled = Unsettled::Jobs(BTreeSet::new());
+        self.unsettled = UnsettledJobs::Jobs(BTreeSet::new());
         tracing::info!(epoch = self.epoch, fenced, "ownership settled");
         self.break_partial_gangs(now);
     }
 
     /// By when what a former owner has left anywhere is over, also where it had the longest lease.
-    fn settled_by(&self) -> Millis {
+    fn latest_settle_deadline(&self) -> Millis {
         let unheard = self.workers.values().filter(|worker| !worker.fenced);
-        let longest = unheard.map(|worker| worker.long_until).max();
-        longest.unwrap_or_default().max(self.settle_by)
+        let longest = unheard.map(|worker| worker.long_lease_until).max();
+        longest.unwrap_or_default().max(self.settle_deadline)
     }
 
-    fn find_unsettled(&self, now: Millis) -> Unsettled {
+    fn find_unsettled(&self, now: Millis) -> UnsettledJobs {
         let mut unsettled = BTreeSet::new();
-        let unheard = |worker: &&Worker| !worker.fenced && now < worker.left_until;
+        let unheard = |worker: &&Worker| !worker.fenced && now < worker.inherited_until;
         for worker in self.workers.values().filter(unheard) {
-            match &worker.left {
-                Some(LeftWork::Any) => return Unsettled::Any,
-                Some(LeftWork::Jobs(jobs)) => unsettled.extend(jobs),
+            match &worker.inherited {
+                Some(InheritedWork::Any) => return UnsettledJobs::Any,
+                Some(InheritedWork::Jobs(jobs)) => unsettled.extend(jobs),
                 None => {}
             }
         }
-        Unsettled::Jobs(unsettled)
+        UnsettledJobs::Jobs(unsettled)
     }
 
     /// Tells whether tasks of a step must wait since a former owner may still run them, or
     /// has run them to their end.
-    pub(super) fn is_unsettled(&self, step: &StepRun, untaken: &Unsettled) -> bool {
+    pub(super) fn is_unsettled(&self, step: &StepRun, awaiting_look: &UnsettledJobs) -> bool {
         let id = step.name.job;
         let predates = self.jobs[step.job].predates;
-        predates && (self.unsettled.covers(id) || untaken.covers(id))
+        predates && (self.unsettled.contains(id) || awaiting_look.contains(id))
     }
 
     /// Jobs of which some worker listed runs or ends when they were not read yet, or may have
     /// some that it has never listed: the next look at that worker takes them in.
-    pub(super) fn find_untaken(&self) -> Unsettled {
+    pub(super) fn jobs_awaiting_look(&self) -> UnsettledJobs {
         let mut jobs = BTreeSet::new();
         for worker in self.workers.values() {
             if worker.more_ends && !worker.listed_whole {
-                return Unsettled::Any;
+                return UnsettledJobs::Any;
             }
-            jobs.extend(&worker.unread);
+            jobs.extend(&worker.unread_jobs);
         }
-        Unsettled::Jobs(jobs)
+        UnsettledJobs::Jobs(jobs)
     }
 
     /// A former owner's gang that is not whole is stopped.
@@ -318,27 +318,27 @@
     }
 }
 
-fn wanted_listing(worker: &Worker, settled: bool, now: Millis) -> Listing {
+fn target_roster_state(worker: &Worker, settled: bool, now: Millis) -> RosterState {
     if worker.parked {
-        return Listing::Absent;
+        return RosterState::Absent;
     }
     if !worker.fenced && !settled {
         // What a former owner left there is known only as far as it was recorded.
-        return match &worker.left {
-            Some(LeftWork::Jobs(_)) => Listing::Named,
-            Some(LeftWork::Any) => Listing::Usable,
-            None if worker.may_hold_work(now) => Listing::Usable,
-            None => Listing::Absent,
+        return match &worker.inherited {
+            Some(InheritedWork::Jobs(_)) => RosterState::NamedJobs,
+            Some(InheritedWork::Any) => RosterState::AnyJob,
+            None if worker.may_hold_work(now) => RosterState::AnyJob,
+            None => RosterState::Absent,
         };
     }
     if !worker.may_hold_work(now) {
-        return Listing::Absent;
+        return RosterState::Absent;
     }
     let silent_for = worker.silent_since.map(|since| now.saturating_sub(since));
-    let known = worker.fenced && worker.strangers == 0 && !worker.has_unrecorded_ends();
+    let known = worker.fenced && worker.unknown_runs == 0 && !worker.has_unrecorded_ends();
     if known && silent_for.is_some_and(|time| time >= tuning::NAME_JOBS_AFTER) {
-        Listing::Named
+        RosterState::NamedJobs
     } else {
-        Listing::Usable
+        RosterState::AnyJob
     }
 }
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -5,7 +5,7 @@
 use crate::cell::membership::LostBy;
 use crate::cell::name::TaskName;
 use crate::cell::order::{EndEntry, EndKind, Refusal, StartOutcome};
-use crate::cell::{Cell, JobKey, RunKey, StepKey, Waited, WorkerKey, tuning};
+use crate::cell::{Cell, JobKey, Milestone, RunKey, StepKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
 impl Cell {
@@ -48,10 +48,10 @@
         }
         let queue = &job.queue.name;
         let millicores = spec.room().millicores;
-        match self.held.get_mut(queue) {
+        match self.held_millicores.get_mut(queue) {
             Some(held) => *held += millicores,
             None => {
-                self.held.insert(queue.clone(), millicores);
+                self.held_millicores.insert(queue.clone(), millicores);
             }
         }
         key
@@ -73,7 +73,7 @@
             self.ledger.release(workspace, &spec.demand);
         }
         let queue = &job.queue.name;
-        if let Some(held) = self.held.get_mut(queue) {
+        if let Some(held) = self.held_millicores.get_mut(queue) {
             *held -= spec.room().millicores;
         }
         Some(run)
@@ -115,8 +115,8 @@
         if is_other {
             tracing::info!(worker = %self.workers[worker_key].entry.life, clock, "a start is answered by another clock");
             let worker = &mut self.workers[worker_key];
-            worker.fall_silent(now);
-            worker.may_have_longest_lease(now);
+            worker.mark_silent(now);
+            worker.assume_longest_lease(now);
         }
         let run = &mut self.runs[key];
         match outcome {
@@ -124,7 +124,7 @@
                 run.has_begun(heard, now);
                 let job = self.steps[run.step].job;
                 if self.jobs[job].state == JobState::Queued {
-                    self.note_wait(job, Waited::FirstStart, now);
+                    self.record_wait(job, Milestone::FirstStart, now);
                 }
                 self.mark_job_running(job);
             }
@@ -134,7 +134,7 @@
                     run.doubted = Some(heard);
                 }
                 if is_present {
-                    self.workers[worker_key].fall_silent(now);
+                    self.workers[worker_key].mark_silent(now);
                 }
                 let step = self.runs[key].step;
                 self.stop_gang(step, now, "a start of the gang was not answered");
@@ -159,7 +159,7 @@
         let (index, place) = (run.index, LossKey::of(run));
         let is_present = run.sent_to == worker_key;
         self.remove_run(key);
-        self.awaited.remove(&key);
+        self.awaiting_verdict.remove(&key);
         self.forget_loss(place);
         if is_present {
             self.handle_refusal(worker_key, step_key, index, refusal, now);
@@ -179,7 +179,7 @@
         let worker = &mut self.workers[worker_key];
         match refusal {
             Refusal::Gone => self.lose_worker(worker_key, now, LostBy::OtherLife),
-            Refusal::NotSent => worker.fall_silent(now),
+            Refusal::NotSent => worker.mark_silent(now),
             Refusal::Unhealthy => {
                 worker.health.shunned_until = now + tuning::UNHEALTHY_PAUSE;
             }
@@ -352,7 +352,7 @@
         }
         self.jobs[job_key].dirty = true;
         if self.steps[key].open == 0 {
-            self.open.retain(|&open| open != key);
+            self.open_steps.retain(|&open| open != key);
             self.make_ready(job_key, name.time);
             self.finish_if_done(job_key);
         }
@@ -451,7 +451,7 @@
         if self.workers[key].has_unread_runs {
             self.keep_lost_life(key);
         }
-        self.workers[key].forget_lists();
+        self.workers[key].clear_listed_state();
     }
 
     /// Logs as one line which runs were lost with their worker, how sure it was that each had
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -43,14 +43,14 @@
         // A start that is dropped now waits again, so that is done before it is asked what waits.
         self.send_planned(now);
         let mut order: Vec<(u32, Millis, usize, StepKey)> = Vec::new();
-        let untaken = self.find_untaken();
-        for (place, &key) in self.open.iter().enumerate() {
+        let awaiting_look = self.jobs_awaiting_look();
+        for (place, &key) in self.open_steps.iter().enumerate() {
             let step = &self.steps[key];
             if !step.ready {
                 continue;
             }
             let job = &self.jobs[step.job];
-            if !job.routed || self.is_unsettled(step, &untaken) {
+            if !job.routed || self.is_unsettled(step, &awaiting_look) {
                 continue;
             }
             // Of most steps all tasks run, and a rank takes a look at the whole job.
@@ -142,7 +142,7 @@
             false => tasks,
         };
         if self.jobs[step.job].queue.advice.is_none() {
-            self.unpark_for(key, whole, now);
+            self.unpark_for_step(key, whole, now);
         }
         self.ask(key, tasks, round);
         self.reserve(key, whole, round);
@@ -174,7 +174,11 @@
         let Some(quota) = job.ordering.quota else {
             return true;
         };
-        let held = self.held.get(&job.queue.name).copied().unwrap_or_default();
+        let held = self
+            .held_millicores
+            .get(&job.queue.name)
+            .copied()
+            .unwrap_or_default();
         held + u64::from(tasks) * step.step().room().millicores <= quota
     }
 
@@ -438,10 +442,10 @@
             return;
         };
         let due = clock + tuning::START_VALID;
-        self.workers[worker_key].lease_sent(now, tuning::START_VALID);
+        self.workers[worker_key].extend_lease(now, tuning::START_VALID);
         let to = self.addressee(worker_key);
         let is_trial = self.runs[key].trial;
-        let is_telling = self.workers[worker_key].was_heard_lately(is_trial, now);
+        let is_telling = self.workers[worker_key].was_heard_recently(is_trial, now);
         let step = &self.steps[step_key];
         let ticket = step.advice.tickets.get(&worker_key);
         let saved = step.tasks[index as usize].saved.clone();
--- a/src/cell/urgency.rs
+++ b/src/cell/urgency.rs
@@ -39,7 +39,7 @@
 
     /// From when on a job's time counts: since it was taken in, or since a scheduled time was due.
     fn begins_at(&self, job: &Job, time: u32, now: Millis) -> Millis {
-        let (Some(schedule), Some(today)) = (job.spec.schedule, self.wall) else {
+        let (Some(schedule), Some(today)) = (job.spec.schedule, self.unix_time) else {
             return job.since;
         };
         let due = schedule.first + u64::from(time) * schedule.interval;
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cell::life::{FormerLives, Life, NextLife};
-use crate::cell::roster::{LeftWork, Listing};
+use crate::cell::roster::{InheritedWork, RosterState};
 use crate::cell::sequence::Sequence;
 use crate::cell::spec::{Demand, JobId, Step};
 use crate::cell::{RunKey, tuning};
@@ -42,7 +42,7 @@
     /// None: there are none, or another life may answer.
     Nothing,
     /// None, so that its answer shows which life is there; the next look may.
-    AfterAnother,
+    Deferred,
     /// Those up to this number.
     UpTo(u64),
 }
@@ -70,25 +70,25 @@
     /// The lives before this one.
     pub former: FormerLives,
     /// Nothing is placed there before: orders to a former life cannot be told from orders to this one.
-    pub rest_until: Millis,
+    pub quarantined_until: Millis,
     /// Since when the platform does not list it any more; none while it does.
     pub unlisted_since: Option<Millis>,
     /// Its newest entry could not be read, so nothing is placed there until one can.
-    pub distrusted: bool,
+    pub entry_outdated: bool,
     /// What a former owner may have left there, if it may have used it.
-    pub left: Option<LeftWork>,
+    pub inherited: Option<InheritedWork>,
     /// By our clock, when what a former owner may have left there is over at the latest.
-    pub left_until: Millis,
+    pub inherited_until: Millis,
     /// A successor was told how long something may still run there, so no lease is renewed.
     pub sealed: bool,
     /// How it stands in the roster.
-    pub listing: Listing,
+    pub roster_state: RosterState,
     /// The version of the roster since which it stands there so.
-    pub rostered: u64,
+    pub roster_state_version: u64,
     /// It has answered under our epoch, so predecessors' orders are refused there.
     pub fenced: bool,
     /// When it said to have started, if it has answered under our epoch.
-    told: Option<Millis>,
+    reported_born: Option<Millis>,
     /// When it last answered.
     pub heard: Millis,
     /// The latest look whose list was taken in: looks may overtake each other.
@@ -104,13 +104,13 @@
     /// By our clock, when everything that runs there must have ended unless the lease is renewed.
     pub lease_end: Millis,
     /// Until then something may run there under a lease that was meant for another clock.
-    pub long_until: Millis,
+    pub long_lease_until: Millis,
     /// That stands so in the roster.
     pub has_long_lease: bool,
     /// It is idle and beyond the reserve, so it is neither looked at nor used.
     pub parked: bool,
     /// When it was parked no longer; zero if it never was.
-    pub woken: Millis,
+    pub unparked_at: Millis,
     /// All runs that may take room there.
     pub runs: Vec<RunKey>,
     /// The room that they take.
@@ -134,7 +134,7 @@
     /// The number up to which it has been told to forget them, by a look that it has answered.
     pub forgotten_end: u64,
     /// It is looked at once more before it may forget any.
-    pub is_asked_again: bool,
+    pub forget_deferred: bool,
     /// It lists ends of jobs that could not be read yet.
     pub holds_ends: bool,
     /// The number of the end that was last found to wait for its job.
@@ -146,11 +146,11 @@
     pub listed_whole: bool,
     /// Jobs that could not be read yet and of which it listed runs or ends when it was last
     /// looked at.
-    pub unread: BTreeSet<JobId>,
+    pub unread_jobs: BTreeSet<JobId>,
     /// It lists runs of such jobs.
     pub has_unread_runs: bool,
     /// Runs that it lists and that are none of ours; they are being stopped.
-    pub strangers: usize,
+    pub unknown_runs: usize,
     /// How far its results can be trusted.
     pub health: Health,
 }
@@ -163,16 +163,16 @@
             listed: Sequence::default(),
             next: None,
             former: FormerLives::default(),
-            rest_until: 0,
+            quarantined_until: 0,
             unlisted_since: None,
-            distrusted: false,
-            left: None,
-            left_until: Millis::MAX,
+            entry_outdated: false,
+            inherited: None,
+            inherited_until: Millis::MAX,
             sealed: false,
-            listing: Listing::Absent,
-            rostered: 0,
+            roster_state: RosterState::Absent,
+            roster_state_version: 0,
             fenced: false,
-            told: None,
+            reported_born: None,
             heard: 0,
             look_sent: Sequence::default(),
             list_heard: Sequence::default(),
@@ -180,10 +180,10 @@
             leaving_since: None,
             clock: None,
             lease_end: 0,
-            long_until: 0,
+            long_lease_until: 0,
             has_long_lease: false,
             parked: false,
-            woken: 0,
+            unparked_at: 0,
             runs: Vec::new(),
             used: Demand::default(),
             filler_millicores: 0,
@@ -195,14 +195,14 @@
             taken_ends: BTreeSet::new(),
             recorded_end: 0,
             forgotten_end: 0,
-            is_asked_again: false,
+            forget_deferred: false,
             holds_ends: false,
             held_end: 0,
             more_ends: false,
             listed_whole: false,
-            unread: BTreeSet::new(),
+            unread_jobs: BTreeSet::new(),
             has_unread_runs: false,
-            strangers: 0,
+            unknown_runs: 0,
             health: Health::default(),
         }
     }
@@ -215,60 +215,60 @@
         let mut next = Self::new(former.entry.clone());
         next.unlisted_since = former.unlisted_since;
         next.next.clone_from(&former.next);
-        next.become_life(born, now);
-        next.listing = former.listing;
-        next.rostered = former.rostered;
+        next.switch_to_life(born, now);
+        next.roster_state = former.roster_state;
+        next.roster_state_version = former.roster_state_version;
         if !former.fenced {
             // Else what an earlier owner had left there is over, and this one may have used it since.
-            next.left.clone_from(&former.left);
-            next.left_until = former.left_until;
+            next.inherited.clone_from(&former.inherited);
+            next.inherited_until = former.inherited_until;
         }
         next.sealed = former.sealed;
-        next.follow(former.former.and(&former.entry.life, now), now);
+        next.set_former_lives(former.former.with(&former.entry.life, now), now);
         next
     }
 
     /// Tells whether nothing rests on this life yet.  One that has replaced another has already told of
     /// ends, before it has answered under its own epoch.
-    pub fn is_blank(&self) -> bool {
+    pub fn is_pristine(&self) -> bool {
         let has_told = self.seen_end > 0 || !self.taken_ends.is_empty() || self.holds_ends;
         !self.fenced && !has_told && self.runs.is_empty()
     }
 
     /// Tells whether an answer by which it has started at `born` is another life's.  A process does
     /// not begin or cease to tell, so one that does is another one; what it lists goes on anyway.
-    pub fn is_other_than(&self, born: Option<Millis>) -> bool {
+    pub fn is_different_life(&self, born: Option<Millis>) -> bool {
         if self.fenced {
-            return self.told != born;
+            return self.reported_born != born;
         }
         self.entry.life.differs_from(born)
     }
 
     /// It has answered that it started at `born`.
-    pub fn is_life(&mut self, born: Option<Millis>) {
-        self.told = born;
+    pub fn confirm_life(&mut self, born: Option<Millis>) {
+        self.reported_born = born;
         self.entry.life.born = born.or(self.entry.life.born);
     }
 
     /// This is the life that started at `born`.  Its room, labels and address are those of its
     /// entry; until that is read nothing is placed there.
-    pub fn become_life(&mut self, born: Option<Millis>, now: Millis) {
+    pub fn switch_to_life(&mut self, born: Option<Millis>, now: Millis) {
         let entry = self.next.take().map(|next| next.entry);
         match entry.filter(|entry| entry.life.born == born) {
             Some(entry) => self.entry = entry,
             None => {
                 self.entry.life.born = born;
                 self.entry.leaving = None;
-                self.distrusted = true;
+                self.entry_outdated = true;
             }
         }
         self.leaving_since = self.entry.leaving.map(|_| now);
     }
 
     /// Other lives came before this one.
-    pub fn follow(&mut self, former: FormerLives, now: Millis) {
-        if former.is_spent() || former.have_rival(self.entry.life.born) {
-            self.rest_until = now + FormerLives::LASTS;
+    pub fn set_former_lives(&mut self, former: FormerLives, now: Millis) {
+        if former.epochs_are_exhausted() || former.were_superseded(self.entry.life.born) {
+            self.quarantined_until = now + FormerLives::RELEVANT_FOR;
         }
         self.former = former;
     }
@@ -285,17 +285,17 @@
     /// read, so this one must have been heard more lately than a worker is away that starts again.
     /// One more look is made for that, and no second one by an owner whose turns come late.
     pub fn next_forget(&self, now: Millis) -> NextForget {
-        if self.recorded_end == self.forgotten_end || self.is_unsure() {
+        if self.recorded_end == self.forgotten_end || self.has_uncertain_life() {
             NextForget::Nothing
-        } else if now.saturating_sub(self.heard) < tuning::SHORTEST_AWAY || self.is_asked_again {
+        } else if now.saturating_sub(self.heard) < tuning::SHORTEST_AWAY || self.forget_deferred {
             NextForget::UpTo(self.recorded_end)
         } else {
-            NextForget::AfterAnother
+            NextForget::Deferred
         }
     }
 
     /// Tells whether another life may answer the next call.
-    pub fn is_unsure(&self) -> bool {
+    pub fn has_uncertain_life(&self) -> bool {
         self.is_silent() || self.next.is_some()
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// A call brought no answer.
-    pub fn fall_silent(&mut self, now: Millis) {
+    pub fn mark_silent(&mut self, now: Millis) {
         if let Some(next) = &mut self.next {
             next.is_passed_over = !next.is_passed_over;
         }
@@ -313,21 +313,21 @@
     }
 
     /// Notes that the end of this number is taken in; false if it was before.
-    pub fn take_place(&mut self, place: u64) -> bool {
+    pub fn accept_end(&mut self, place: u64) -> bool {
         place > self.seen_end && self.taken_ends.insert(place)
     }
 
     /// All ends up to this number are taken in.
-    pub fn pass_ends(&mut self, place: u64) {
+    pub fn accept_ends_up_to(&mut self, place: u64) {
         self.seen_end = self.seen_end.max(place);
         self.taken_ends = self.taken_ends.split_off(&(self.seen_end + 1));
     }
 
     /// What it listed when it was last looked at counts no more: a later list follows, or its
     /// lease is over.
-    pub fn forget_lists(&mut self) {
-        self.strangers = 0;
-        self.unread.clear();
+    pub fn clear_listed_state(&mut self) {
+        self.unknown_runs = 0;
+        self.unread_jobs.clear();
         self.has_unread_runs = false;
         self.holds_ends = false;
         self.more_ends = false;
@@ -341,15 +341,15 @@
 
     /// Tells whether tasks may have been started here of which this owner does not know: by a former
     /// one, or of jobs that were not read yet.
-    pub fn may_hide_starts(&self) -> bool {
-        let is_unheard = !self.fenced && self.left.is_some();
+    pub fn may_have_unknown_starts(&self) -> bool {
+        let is_unheard = !self.fenced && self.inherited.is_some();
         is_unheard || self.has_unread_runs
     }
 
     /// Tells whether something may run here, or soon may, or has ended and is not recorded: a
     /// successor must know of it.
     pub fn may_hold_work(&self, now: Millis) -> bool {
-        let empty = self.runs.is_empty() && self.strangers == 0 && !self.has_unrecorded_ends();
+        let empty = self.runs.is_empty() && self.unknown_runs == 0 && !self.has_unrecorded_ends();
         let lost = self.is_silent() && now > self.lease_end;
         !(empty && (self.entry.leaving.is_some() || lost))
     }
@@ -357,9 +357,11 @@
     /// Tells whether nothing runs here and nothing is to be told or found out: a successor that does
     /// not know of it misses nothing.
     pub fn is_idle(&self) -> bool {
-        let is_empty = self.runs.is_empty() && self.strangers == 0 && self.unread.is_empty();
+        let is_empty =
+            self.runs.is_empty() && self.unknown_runs == 0 && self.unread_jobs.is_empty();
         let is_told = !self.has_unrecorded_ends() && self.forgotten_end == self.recorded_end;
-        let is_sound = !self.is_unsure() && !self.distrusted && !self.suspected && !self.sealed;
+        let is_sound =
+            !self.has_uncertain_life() && !self.entry_outdated && !self.suspected && !self.sealed;
         let stays = self.unlisted_since.is_none() && self.entry.leaving.is_none();
         is_empty && is_told && is_sound && stays && !self.has_long_lease
     }
@@ -405,20 +407,20 @@
 
     /// Tells whether its clock was read so lately that a lease may be given by it: what a clock
     /// may have lost since must fit into `LEASE_MARGIN`, and after a lease nothing runs there.
-    pub fn has_late_clock(&self, now: Millis) -> bool {
+    pub fn has_recent_clock(&self, now: Millis) -> bool {
         let late = |(_, at): (Millis, Millis)| now.saturating_sub(at) <= tuning::LEASE;
         self.clock.is_some_and(late)
     }
 
     /// Notes that an order with a lease of `lease` is sent now.
-    pub fn lease_sent(&mut self, now: Millis, lease: Millis) {
+    pub fn extend_lease(&mut self, now: Millis, lease: Millis) {
         let longest = lease + lease * tuning::DRIFT_PERMILLE / 1_000 + tuning::LEASE_MARGIN;
         self.lease_end = self.lease_end.max(now + longest);
     }
 
     /// Tells whether it lived so lately that a crash just now is hardly a chance.  Trials are few, so for
     /// those a longer time will do.
-    pub fn was_heard_lately(&self, is_trial: bool, now: Millis) -> bool {
+    pub fn was_heard_recently(&self, is_trial: bool, now: Millis) -> bool {
         let lately = if is_trial {
             tuning::FRESH
         } else {
@@ -429,9 +431,9 @@
 
     /// An order that was meant for another clock may have given it the longest lease.  What it is given
     /// later runs under that lease as well, so a successor is told of it also while nothing runs.
-    pub fn may_have_longest_lease(&mut self, now: Millis) {
-        self.lease_sent(now, tuning::LONGEST_LEASE);
-        self.long_until = self.lease_end;
+    pub fn assume_longest_lease(&mut self, now: Millis) {
+        self.extend_lease(now, tuning::LONGEST_LEASE);
+        self.long_lease_until = self.lease_end;
     }
 
     /// Tells whether the platform has not listed it for so long that it counts as gone,
@@ -446,13 +448,13 @@
         self.fenced
             && !self.parked
             && !self.sealed
-            && !self.distrusted
-            && !self.is_unsure()
-            && self.rest_until <= now
+            && !self.entry_outdated
+            && !self.has_uncertain_life()
+            && self.quarantined_until <= now
             && self.clock.is_some()
             && self.entry.leaving.is_none()
             && !self.is_gone(now)
-            && self.strangers == 0
+            && self.unknown_runs == 0
             && self.health.shunned_until <= now
             && now.saturating_sub(self.heard) < tuning::STALE_AFTER
     }
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::cell::order::{AdviceOrder, Order};
 use crate::cell::spec::JobSpec;
-use crate::cell::{Cell, Waited, WorkerKey};
+use crate::cell::{Cell, Milestone, WorkerKey};
 use crate::clock::Millis;
 use crate::embedded::worker::MemoryWorker;
 use crate::experiment::load::Load;
@@ -275,7 +275,7 @@
             self.carry_out(order);
         }
         for wait in self.cell.take_waits() {
-            if wait.what == Waited::FirstStart {
+            if wait.until == Milestone::FirstStart {
                 let place = usize::from(wait.priority != self.queues[0].priority);
                 self.waits[place].saturating_record(wait.time);
             }
@@ -309,7 +309,7 @@
             return;
         }
         let roster = self.cell.roster_version();
-        self.cell.roster_is_recorded(roster);
+        self.cell.mark_roster_recorded(roster);
         let batch = self.cell.take_batch(usize::MAX);
         for (_, id, progress) in &batch.rows {
             if progress.state.is_final() {
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -16,7 +16,7 @@
 use crate::cell::record::JobRow;
 use crate::cell::spec::JobId;
 use crate::cell::view::JobView;
-use crate::cell::{Cell, Waited, WorkerKey, tuning};
+use crate::cell::{Cell, Milestone, WorkerKey, tuning};
 use crate::clock::{self, Millis};
 use crate::node::heartbeat;
 use crate::node::loading;
@@ -389,7 +389,7 @@
             for wait in waits {
                 self.shared
                     .metrics
-                    .wait(wait_class(wait.what, wait.priority), wait.time);
+                    .wait(wait_class(wait.until, wait.priority), wait.time);
             }
             for order in orders {
                 self.spawn(Arc::clone(&self).carry_out(order));
@@ -474,13 +474,13 @@
 }
 
 /// The label of a waiting time; queues beyond the third priority share one.
-fn wait_class(what: Waited, priority: u32) -> &'static str {
+fn wait_class(what: Milestone, priority: u32) -> &'static str {
     match (what, priority) {
-        (Waited::FirstStart, 0) => "first_start_p0",
-        (Waited::FirstStart, 1) => "first_start_p1",
-        (Waited::FirstStart, _) => "first_start_p2",
-        (Waited::End, 0) => "end_p0",
-        (Waited::End, 1) => "end_p1",
-        (Waited::End, _) => "end_p2",
+        (Milestone::FirstStart, 0) => "first_start_p0",
+        (Milestone::FirstStart, 1) => "first_start_p1",
+        (Milestone::FirstStart, _) => "first_start_p2",
+        (Milestone::End, 0) => "end_p0",
+        (Milestone::End, 1) => "end_p1",
+        (Milestone::End, _) => "end_p2",
     }
 }
--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -163,7 +163,7 @@
     fn apply_job_rows(&self, rows: &[Row]) {
         for row in rows.iter().filter(|row| !row.dropped) {
             // Most jobs were told of by the node that took them in.
-            if row.key.parse().is_ok_and(|id| self.cell().knows(id)) {
+            if row.key.parse().is_ok_and(|id| self.cell().knows_job(id)) {
                 continue;
             }
             let Some(job) = loading::parse_job_row(&row.value) else {
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -139,9 +139,9 @@
     cell.tell_wall_clock(clock::since_1970());
     let (roster, workers) = RosterRows::read(&former.0);
     if roster.has_unreadable_rows() {
-        cell.doubt_roster();
+        cell.mark_roster_incomplete();
     }
-    cell.list_former_workers(workers, now);
+    cell.restore_roster(workers, now);
     cell.await_list();
     cell.await_evacuated_halls();
     if let Some(lapses) = recording::read_lapses(&former.0) {
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -188,7 +188,7 @@
         let recorded = async {
             loop {
                 let recorded = self.recorded.notified();
-                if !self.cell().unrecorded(key) {
+                if !self.cell().has_unrecorded_ends(key) {
                     return;
                 }
                 recorded.await;
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -222,7 +222,7 @@
         };
         if is_written {
             self.roster_recorded.store(version, Ordering::Relaxed);
-            self.cell().roster_is_recorded(version);
+            self.cell().mark_roster_recorded(version);
         }
     }
 
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -226,7 +226,7 @@
         long_lease: false,
         lost: None,
     };
-    cell.list_former_workers((0..4).map(entry).collect(), 1_000);
+    cell.restore_roster((0..4).map(entry).collect(), 1_000);
     cell.accept(&owned(1, team, vec![step(1, 8_000)]), None, true, 1_000);
     let mut bench = Bench::with(cell, 1_010);
     for number in 0..heard {
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -223,7 +223,7 @@
     );
     let listed = [cell_core::worker(0), cell_core::worker(1), silent];
     let listed = listed.into_iter().map(|entry| left(entry, None)).collect();
-    cell.list_former_workers(listed, next.now);
+    cell.restore_roster(listed, next.now);
     next.cell = cell;
     next.cell.accept(&row, None, true, next.now);
     let keys = next.cell.worker_keys();
@@ -284,7 +284,7 @@
         starts(&bench.decide()).is_empty(),
         "the roster is not recorded"
     );
-    bench.cell.roster_is_recorded(version);
+    bench.cell.mark_roster_recorded(version);
     assert_eq!(starts(&bench.decide()).len(), 4);
 }
 
@@ -578,7 +578,7 @@
 fn a_successor_passes_on_a_worker_that_it_never_reached() {
     // Arrange: a former owner used a worker that is cut off since, and runs on.
     let mut cell = Cell::new(2, configuration(&[]), 1_000);
-    cell.list_former_workers(vec![left(worker(9), None)], 1_000);
+    cell.restore_roster(vec![left(worker(9), None)], 1_000);
     let cut = cell.worker_keys()[0];
 
     // Act.
@@ -614,7 +614,7 @@
     bench.cell.tick(bench.now);
     let before = bench.start_all().len();
     let (version, plain) = bench.cell.roster();
-    bench.cell.roster_is_recorded(version);
+    bench.cell.mark_roster_recorded(version);
     let after = bench.start_all().len();
 
     // Assert.
@@ -629,7 +629,7 @@
     let q = queue("q", 0);
     let mut cell = Cell::new(2, configuration(std::slice::from_ref(&q)), 1_000);
     let roster = vec![left(worker(0), None), left(worker(1), Some(vec![JobId(1)]))];
-    cell.list_former_workers(roster, 1_000);
+    cell.restore_roster(roster, 1_000);
     let mut bench = Bench::with(cell, 1_000);
     for id in [1, 2] {
         let row = job(id, &q, vec![step(1, 1_000)]);
@@ -840,7 +840,7 @@
     let mut cell = crossweir::cell::Cell::new(2, config, 1_000);
     let listed = [worker(0), worker(1)];
     let listed = listed.into_iter().map(|entry| left(entry, None)).collect();
-    cell.list_former_workers(listed, 1_000);
+    cell.restore_roster(listed, 1_000);
     let mut bench = Bench::with(cell, 1_000);
     let row = job(1, &q, vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -190,7 +190,7 @@
         let mut bench = Self::with(cell, 1_000);
         bench.look_at_all();
         bench.cell.tick(bench.now);
-        bench.cell.roster_is_recorded(bench.cell.roster_version());
+        bench.cell.mark_roster_recorded(bench.cell.roster_version());
         bench
     }
 
@@ -221,7 +221,7 @@
     pub fn pass(&mut self, time: Millis) {
         self.now += time;
         self.cell.tick(self.now);
-        self.cell.roster_is_recorded(self.cell.roster_version());
+        self.cell.mark_roster_recorded(self.cell.roster_version());
     }
 
     /// Decides, and returns the orders.  Starts that are to be recorded first are, at once.
--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -83,7 +83,7 @@
         self.epoch = tuning::next_epoch(self.epoch);
         self.cell = Cell::new(self.epoch, configuration(&[queue("q", 0)]), self.now);
         let roster = self.roster.values().cloned().collect();
-        self.cell.list_former_workers(roster, self.now);
+        self.cell.restore_roster(roster, self.now);
         self.cell.list_workers(self.entries.clone(), self.now);
         for &id in jobs {
             let progress = self.progress.get(&JobId(id));
@@ -163,7 +163,7 @@
         for (_, id, progress) in &batch.rows {
             self.progress.insert(*id, progress.clone());
         }
-        self.cell.roster_is_recorded(version);
+        self.cell.mark_roster_recorded(version);
         self.cell.recorded(batch, self.now);
     }
 
@@ -319,7 +319,7 @@
 
     // Act: another one is lost with what was started there.
     site.cell.accept(&row(CULPRIT), None, false, site.now);
-    site.cell.roster_is_recorded(site.cell.roster_version());
+    site.cell.mark_roster_recorded(site.cell.roster_version());
     site.look();
     site.start_of_culprit();
     site.comes_back(&crashed, next(9_000));
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -425,7 +425,7 @@
             long_lease: false,
             lost: None,
         };
-        cell.list_former_workers(vec![left(0), left(1)], 1_000);
+        cell.restore_roster(vec![left(0), left(1)], 1_000);
         cell.apply_remaining_leases(&lapses, 1_000);
         cell.accept(&row, None, true, 1_000);
         let mut bench = Bench::with(cell, 1_000);
--- a/tests/late_entries.rs
+++ b/tests/late_entries.rs
@@ -99,7 +99,7 @@
         long_lease: false,
         lost: None,
     });
-    cell.list_former_workers(roster.to_vec(), 1_000);
+    cell.restore_roster(roster.to_vec(), 1_000);
     cell.list_workers(vec![life("present"), worker(1)], 1_000);
     let mut bench = Bench::with(cell, 1_000);
     bench.look_at_all();
--- a/tests/listed_lives.rs
+++ b/tests/listed_lives.rs
@@ -63,7 +63,7 @@
         long_lease: false,
         lost: None,
     });
-    cell.list_former_workers(roster.to_vec(), 1_000);
+    cell.restore_roster(roster.to_vec(), 1_000);
     let entries = vec![former_life(), worker(0), worker(1)];
     cell.list_workers(entries, 1_000);
     let row = job(1, &q, vec![step(1, 1_000)]);
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -140,7 +140,7 @@
         let config = configuration(std::slice::from_ref(&self.queue));
         self.cell = Cell::new(self.epoch, config, self.now);
         self.cell.set_lanes(&[true]);
-        self.cell.list_former_workers(self.roster.clone(), self.now);
+        self.cell.restore_roster(self.roster.clone(), self.now);
         self.cell.list_workers(self.entries.clone(), self.now);
         for row in self.rows.values() {
             let progress = self.progress.get(&row.id);
@@ -311,7 +311,7 @@
         }
         let (version, roster) = self.cell.roster();
         self.roster = roster;
-        self.cell.roster_is_recorded(version);
+        self.cell.mark_roster_recorded(version);
         let batch = self.cell.take_batch(100);
         for (_, id, progress) in &batch.rows {
             self.progress.insert(*id, progress.clone());
--- a/tests/look_times.rs
+++ b/tests/look_times.rs
@@ -15,7 +15,7 @@
 /// How long a look waits in a cell of so many workers, of which at most so many idle ones are awake.
 fn wait_among_awake(workers: u16, awake: usize) -> u64 {
     let mut cell = Cell::new(1, configuration(&[queue("q", 0)]), 1_000);
-    cell.keep_awake(awake);
+    cell.set_idle_reserve(awake);
     cell.list_workers((0..workers).map(worker).collect(), 1_000);
     let mut bench = Bench::with(cell, 1_000);
     bench.look_at_all();
--- a/tests/parked_workers.rs
+++ b/tests/parked_workers.rs
@@ -29,7 +29,7 @@
     let queues = [queue("q", 0), advised_queue("advised", 0)];
     let mut cell = Cell::new(1, configuration(&queues), 1_000);
     cell.set_lanes(&[true]);
-    cell.list_former_workers(roster, 1_000);
+    cell.restore_roster(roster, 1_000);
     cell.list_workers(workers.collect(), 1_000);
     cell
 }
@@ -105,7 +105,7 @@
 fn nobody_is_parked_unheard_if_the_roster_could_not_be_read_whole() {
     let queues = [queue("q", 0)];
     let mut cell = Cell::new(1, configuration(&queues), 1_000);
-    cell.doubt_roster();
+    cell.mark_roster_incomplete();
 
     cell.list_workers((0..FLEET).map(worker).collect(), 1_000);
 
@@ -244,7 +244,7 @@
 fn a_question_for_advice_wakes_workers_if_too_few_are_awake() {
     // Arrange: a step of which each task takes a worker, and more than are awake.
     let mut bench = fleet(FLEET);
-    bench.cell.keep_awake(8);
+    bench.cell.set_idle_reserve(8);
     for _ in 0..2 {
         bench.pass(LONG);
         turn(&mut bench);
@@ -274,7 +274,7 @@
 fn a_step_that_waits_wakes_workers_some_times_a_second_and_not_in_each_round() {
     // Arrange
     let mut bench = fleet(FLEET);
-    bench.cell.keep_awake(8);
+    bench.cell.set_idle_reserve(8);
     for _ in 0..2 {
         bench.pass(LONG);
         turn(&mut bench);
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -48,7 +48,7 @@
         long_lease: false,
         lost: None,
     };
-    cell.list_former_workers(vec![used(life("w5")), used(worker(1))], now);
+    cell.restore_roster(vec![used(life("w5")), used(worker(1))], now);
     cell.list_workers(vec![life(stale), worker(1), life("w5")], now);
     cell.accept(&job(7, q, vec![step(1, 1_000)]), None, true, now);
     Bench::with(cell, now)
--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -394,9 +394,9 @@
         let mut cell = Cell::new(self.epoch, self.config(), self.now);
         cell.set_lanes(&[true]);
         if let Some(awake) = self.awake {
-            cell.keep_awake(awake);
+            cell.set_idle_reserve(awake);
         }
-        cell.list_former_workers(self.roster.clone(), self.now);
+        cell.restore_roster(self.roster.clone(), self.now);
         cell.list_workers(self.store_lists(), self.now);
         if let Some(operator) = &mut self.operator {
             cell.set_evacuated_halls(&operator.read());
@@ -588,7 +588,7 @@
             self.roster.retain(|known| known.worker.life.id != id);
             self.roster.extend(entry);
         }
-        cell.roster_is_recorded(version);
+        cell.mark_roster_recorded(version);
         let ids = |roster: &[RosterEntry]| -> BTreeSet<String> {
             let ids = roster.iter().map(|entry| entry.worker.life.id.clone());
             ids.collect()
--- a/tests/told_lapses.rs
+++ b/tests/told_lapses.rs
@@ -39,7 +39,7 @@
     let lapses = bench.cell.seal_silent(bench.now);
     let mut next = Cell::new(2, configuration(std::slice::from_ref(&q)), bench.now);
     next.set_lanes(&[true, true]);
-    next.list_former_workers(roster, bench.now);
+    next.restore_roster(roster, bench.now);
     next.list_workers(vec![worker(0), worker(1)], bench.now);
     next.apply_remaining_leases(&lapses, bench.now);
     next.accept(&row, None, true, bench.now);
