--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -91,9 +91,9 @@
         let Some(policy) = self.jobs[step.job].queue.advice else {
             return;
         };
-        let pause = tuning::ADVICE_PAUSE.min(2 * policy.duration(0));
+        let pause = tuning::ADVICE_INTERVAL.min(2 * policy.duration(0));
         let pause_over = step.advice.asked == 0 || step.advice.asked + pause <= now;
-        if step.advice.asking || !pause_over || step.advice.looked_after > now {
+        if step.advice.asking || !pause_over || step.advice.search_after > now {
             return;
         }
         if self.free_lane(false).is_none() || !round.may_look_for_advice() {
@@ -105,7 +105,7 @@
             self.unpark_for_step(key, needed, now);
         }
         if workers.is_empty() {
-            self.steps[key].advice.looked_after = now + tuning::ADVICE_LOOK;
+            self.steps[key].advice.search_after = now + tuning::ADVICE_SEARCH_INTERVAL;
             return;
         }
         let expected = policy.duration(workers.len());
@@ -147,7 +147,8 @@
         let now = round.now;
         let job = &self.jobs[self.steps[key].job];
         let share = self.learned_share(&job.queue.name);
-        let answer_by = now + policy.duration(tuning::ADVICE_MOST) + tuning::ADVICE_AHEAD;
+        let answer_by =
+            now + policy.duration(tuning::MAX_ADVICE_WORKERS) + tuning::ADVICE_LOOKAHEAD;
         let mut candidates = self.advice_candidates(key, needed, round);
         candidates.retain(|candidate| !candidate.good || candidate.free_at <= answer_by);
         candidates.sort_unstable_by_key(|candidate| {
@@ -164,14 +165,14 @@
         let mut chosen = Vec::new();
         for candidate in candidates {
             let cost = policy.per_worker_ms * chosen.len() as f64;
-            let cheap = cost <= policy.base_ms * tuning::ADVICE_EXTRA;
-            if (expected >= wanted && !cheap) || chosen.len() >= tuning::ADVICE_MOST {
+            let cheap = cost <= policy.base_ms * tuning::ADVICE_EXTRA_TIME_SHARE;
+            if (expected >= wanted && !cheap) || chosen.len() >= tuning::MAX_ADVICE_WORKERS {
                 break;
             }
             expected += f64::from(candidate.fit) * if candidate.good { 1.0 } else { share };
             chosen.push(candidate.worker);
         }
-        let are_enough = expected >= wanted || chosen.len() >= tuning::ADVICE_MOST;
+        let are_enough = expected >= wanted || chosen.len() >= tuning::MAX_ADVICE_WORKERS;
         (chosen, are_enough)
     }
 
@@ -196,7 +197,7 @@
         let known = found.with_room.len();
         let looked_at = self.find_unknown(key, needed, round, &mut found);
         // To foresee when room comes free on each worker of a full cell takes most of a round.
-        if found.with_room.len() - known >= tuning::ADVICE_MOST {
+        if found.with_room.len() - known >= tuning::MAX_ADVICE_WORKERS {
             found.full.retain(|candidate| candidate.good);
         }
         for candidate in &mut found.full {
@@ -211,7 +212,7 @@
     /// tells how many were looked at.
     fn find_unknown(&self, key: StepKey, needed: u32, round: &mut Round, found: &mut Found) -> u64 {
         let advice = &self.steps[key].advice;
-        let most = found.with_room.len() + tuning::ADVICE_CHOICE;
+        let most = found.with_room.len() + tuning::ADVICE_CANDIDATES;
         let mut looked_at = 0;
         for worker in self.usable_from(key, round) {
             if found.with_room.len() == most {
@@ -290,7 +291,7 @@
         self.good_share
             .get(queue)
             .copied()
-            .unwrap_or(tuning::FIRST_GOOD_SHARE)
+            .unwrap_or(tuning::INITIAL_GOOD_SHARE)
     }
 
     /// Tells whether a ticket for the worker can still be used.
@@ -328,7 +329,7 @@
         let learned = self
             .good_share
             .entry(job.queue.name.clone())
-            .or_insert(tuning::FIRST_GOOD_SHARE);
+            .or_insert(tuning::INITIAL_GOOD_SHARE);
         *learned += tuning::GOOD_SHARE_WEIGHT * (share - *learned);
         for (worker, id) in &order.workers {
             match good.iter().find(|(good_id, _)| good_id == id) {
--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -103,7 +103,7 @@
     /// Tells whether its start was not answered by a time, or only just before.
     pub(super) fn is_fresh(&self, then: Millis) -> bool {
         let is_sent = self.phase != Phase::Planned;
-        is_sent && (self.begun.is_none() || self.answered + tuning::FRESH >= then)
+        is_sent && (self.start_heard.is_none() || self.began_at + tuning::FRESH_START_AGE >= then)
     }
 }
 
@@ -126,9 +126,9 @@
         let counted = || self.losses.iter().filter(|loss| counts(loss));
         let sole = || counted().filter(|loss| loss.blame == Blame::Sole);
         let shown = sole().filter(|loss| !loss.unanswered);
-        shown.count() >= tuning::MOST_SHOWN_CRASHES
-            || sole().count() >= tuning::MOST_SOLE_CRASHES
-            || counted().count() >= tuning::MOST_LOSSES
+        shown.count() >= tuning::MAX_CONFIRMED_SOLE_CRASHES
+            || sole().count() >= tuning::MAX_SOLE_CRASHES
+            || counted().count() >= tuning::MAX_CRASHES
     }
 }
 
@@ -165,7 +165,7 @@
 
     /// A start without an answer is the likelier culprit, so one alone is blamed alone.
     fn note_fresh(&mut self, fresh: &[RunKey], now: Millis) {
-        let is_unanswered = |run: &RunKey| self.runs[*run].begun.is_none();
+        let is_unanswered = |run: &RunKey| self.runs[*run].start_heard.is_none();
         let unanswered: Vec<RunKey> = fresh.iter().copied().filter(is_unanswered).collect();
         let likely = if unanswered.is_empty() {
             fresh
@@ -207,7 +207,7 @@
 
     fn note_loss(&mut self, key: RunKey, blame: Blame, now: Millis) {
         let run = &self.runs[key];
-        let unanswered = run.begun.is_none() && !run.is_telling;
+        let unanswered = run.start_heard.is_none() && !run.crash_is_evidence;
         let loss = Loss {
             blame,
             unanswered,
@@ -284,7 +284,7 @@
     /// it, nor did a start that was given up as unanswered and barred by then.
     pub(super) fn clear_survived_losses(&mut self, key: WorkerKey, sent: Sequence) {
         for run in self.unproven_runs(key) {
-            let given_up = self.runs[run].doubted.is_some_and(|heard| heard < sent);
+            let given_up = self.runs[run].doubt_heard.is_some_and(|heard| heard < sent);
             if given_up && !self.may_begin_after(run, sent) {
                 self.mark_proven(run);
             } else if given_up || self.is_past_start_window(key, run) {
@@ -303,16 +303,16 @@
     /// been carried out, by an answer to any look: one that is held for an end was sent before.
     fn is_past_start_window(&self, key: WorkerKey, run: RunKey) -> bool {
         let run = &self.runs[run];
-        let sent = run.expires.saturating_sub(tuning::START_VALID);
-        let is_past = |(clock, _): (Millis, Millis)| clock >= sent + tuning::START_ARRIVES;
-        let is_unanswered = run.begun.is_none() && run.sent_to == key;
+        let sent = run.expires.saturating_sub(tuning::START_VALIDITY);
+        let is_past = |(clock, _): (Millis, Millis)| clock >= sent + tuning::START_ANSWER_WAIT;
+        let is_unanswered = run.start_heard.is_none() && run.sent_to == key;
         is_unanswered && self.workers[key].clock.is_some_and(is_past)
     }
 
     /// A worker has outlived a start that may still come late: a crash of it shows nothing any more.
     fn mark_inconclusive(&mut self, key: RunKey) {
         let run = &mut self.runs[key];
-        run.is_telling = false;
+        run.crash_is_evidence = false;
         let number = run.number;
         let task = &mut self.steps[run.step].tasks[run.index as usize];
         for loss in task.losses.iter_mut().filter(|loss| loss.run == number) {
@@ -349,7 +349,7 @@
         let run = &self.runs[key];
         let barred = run.stop.and_then(|stop| stop.confirmed);
         let is_barred = barred.is_some_and(|heard| heard < sent);
-        run.begun.is_none() && !is_barred
+        run.start_heard.is_none() && !is_barred
     }
 
     fn discard_pending_losses(&mut self, life: &Life) {
@@ -458,7 +458,7 @@
         for (life, doubt) in &self.pending_losses {
             if self.is_over(life, doubt) {
                 crashed.push(life.clone());
-            } else if now.saturating_sub(doubt.since) > tuning::VERDICT_WAIT {
+            } else if now.saturating_sub(doubt.since) > tuning::CRASH_VERDICT_TIMEOUT {
                 faded.push(life.clone());
             }
         }
@@ -515,16 +515,16 @@
     /// began, and long after for nothing.
     pub(super) fn clear_losses_by_age(&mut self, key: RunKey, now: Millis) {
         let run = &mut self.runs[key];
-        let age = now.saturating_sub(run.answered);
+        let age = now.saturating_sub(run.began_at);
         let (step, index) = (run.step, run.index);
-        if age < tuning::YOUNG {
+        if age < tuning::PROVEN_AFTER {
             return;
         }
         if !run.proven {
             self.mark_proven(key);
             self.forget_losses(step, index, |loss| loss.blame != Blame::Late);
         }
-        if age >= tuning::LOSSES_FADE {
+        if age >= tuning::LOSSES_EXPIRE_AFTER {
             self.forget_losses(step, index, |_| true);
         }
     }
--- a/src/cell/forecast.rs
+++ b/src/cell/forecast.rs
@@ -73,7 +73,7 @@
     fn expected_end(&self, key: RunKey, now: Millis) -> Option<Millis> {
         let run = &self.runs[key];
         if run.stop.is_some() {
-            return Some(now + tuning::STOP_TIME);
+            return Some(now + tuning::TYPICAL_STOP_TIME);
         }
         let spec = self.steps[run.step].step();
         if spec.lasting {
--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -2,17 +2,17 @@
 
 use std::sync::Arc;
 
-use crate::cell::job::{Advice, EndedJob, Job, JobState, KeptEnd, StepRun, Task};
+use crate::cell::job::{Advice, EndedJob, Job, JobState, StepRun, Task, UnrecordedEnd};
 use crate::cell::name::StepName;
 use crate::cell::order::{EndEntry, EndKind};
-use crate::cell::record::{JobRow, Progress};
+use crate::cell::record::{JobProgress, JobRow};
 use crate::cell::spec::JobId;
 use crate::cell::{Cell, JobKey, StepKey, WorkerKey, urgency};
 use crate::clock::Millis;
 
 /// What became of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cancelling {
+pub enum CancelOutcome {
     /// There is no such job.
     Unknown,
     /// It was final already, and that is recorded.
@@ -30,7 +30,7 @@
     pub fn accept(
         &mut self,
         row: &JobRow,
-        progress: Option<&Progress>,
+        progress: Option<&JobProgress>,
         predates: bool,
         now: Millis,
     ) {
@@ -39,7 +39,7 @@
         }
         let unread_job_progress = self.unread_job_progress.swap_remove(&row.id);
         let progress = progress.or(unread_job_progress.as_ref());
-        let (queue, routed) = match self.config.queue(&row.queue.name) {
+        let (queue, queue_configured) = match self.config.queue(&row.queue.name) {
             Some(queue) => (queue.clone(), true),
             None => (row.queue.clone(), false),
         };
@@ -52,20 +52,20 @@
         let key = self.jobs.insert(Job {
             id: row.id,
             workspace,
-            chain: urgency::critical_path(&spec, |_| true),
+            critical_path: urgency::critical_path(&spec, |_| true),
             spec: Arc::new(spec),
             text: Arc::from(row.spec.text.as_str()),
             ordering: self.policy.order(&queue, &row.spec),
             queue,
-            routed,
+            queue_configured,
             state: JobState::Queued,
             recorded: JobState::Queued,
-            witnessed: false,
-            kept_ends: Vec::new(),
-            since: now,
+            known_to_peer: false,
+            unrecorded_ends: Vec::new(),
+            accepted_at: now,
             predates: predates || self.has_unread_jobs,
-            careful: false,
-            times: Default::default(),
+            record_starts_first: false,
+            occurrences: Default::default(),
             dirty: false,
         });
         self.job_ids.insert(row.id, key);
@@ -73,33 +73,33 @@
             let job = &mut self.jobs[key];
             job.state = progress.state;
             job.recorded = progress.state;
-            job.careful = progress.careful;
+            job.record_starts_first = progress.careful;
         }
         if self.jobs[key].state.is_final() {
             return;
         }
         if row.spec.schedule.is_none() {
-            self.begin_time(key, 0);
+            self.begin_occurrence(key, 0);
         } else {
             self.scheduled.push(key);
-            self.begin_times();
+            self.begin_due_occurrences();
         }
         if let Some(progress) = progress {
-            self.begin_recorded_times(key, progress);
+            self.begin_recorded_occurrences(key, progress);
             self.restore(key, progress, now);
         }
         if self.may_have_unrecorded_starts {
             self.mark_careful(key);
         }
         if let Some(state) = self.early_ends.swap_remove(&row.id) {
-            self.take_early_end(key, state);
+            self.apply_peer_end(key, state);
         }
     }
 
     /// Another node tells that a job has ended, which a former owner could not record.
-    pub fn believe_end(&mut self, id: JobId, state: JobState) {
+    pub fn accept_peer_end(&mut self, id: JobId, state: JobState) {
         match self.job_ids.get(&id) {
-            Some(&key) => self.take_early_end(key, state),
+            Some(&key) => self.apply_peer_end(key, state),
             // Its row may not have been read yet.
             None if !self.ended.contains_key(&id) => {
                 self.early_ends.insert(id, state);
@@ -108,32 +108,32 @@
         }
     }
 
-    fn take_early_end(&mut self, key: JobKey, state: JobState) {
+    fn apply_peer_end(&mut self, key: JobKey, state: JobState) {
         self.end_job(key, state);
-        self.jobs[key].witnessed = true;
+        self.jobs[key].known_to_peer = true;
     }
 
     /// Ends that are decided and wait to be recorded.  A cancellation is not told
     /// before it is recorded, since no worker keeps it; nor is an end of which a worker that may
     /// soon be gone keeps a part.  One that was shown is told on: nodes forget what is not named.
-    pub fn unrecorded_ends(&self) -> Vec<(JobId, JobState)> {
+    pub fn unrecorded_job_ends(&self) -> Vec<(JobId, JobState)> {
         self.jobs
             .values()
             .filter(|job| matches!(job.state, JobState::Succeeded | JobState::Failed))
             .filter(|job| !job.recorded.is_final())
-            .filter(|job| job.witnessed || self.is_kept(job))
+            .filter(|job| job.known_to_peer || self.workers_retain_ends(job))
             .map(|job| (job.id, job.state))
             .collect()
     }
 
     /// Tells whether workers will tell a successor of all that is not recorded of a job.
-    fn is_kept(&self, job: &Job) -> bool {
-        let mut ends = job.kept_ends.iter();
-        ends.all(|end| self.will_keep(end.worker))
+    fn workers_retain_ends(&self, job: &Job) -> bool {
+        let mut ends = job.unrecorded_ends.iter();
+        ends.all(|end| self.will_retain_ends(end.worker))
     }
 
     /// Tells whether a worker can be counted on to tell a successor of what has ended there.
-    fn will_keep(&self, key: WorkerKey) -> bool {
+    fn will_retain_ends(&self, key: WorkerKey) -> bool {
         self.workers.get(key).is_some_and(|worker| {
             let stays = worker.entry.leaving.is_none() && worker.unlisted_since.is_none();
             stays && !worker.has_uncertain_life()
@@ -141,7 +141,7 @@
     }
 
     /// A worker lists an end that counts for a job.
-    pub(super) fn note_kept_end(&mut self, worker: WorkerKey, end: &EndEntry) {
+    pub(super) fn note_unrecorded_end(&mut self, worker: WorkerKey, end: &EndEntry) {
         let Some(step) = self.find_step(end.task) else {
             return;
         };
@@ -155,7 +155,7 @@
         // A gang's failures are counted with its first member.
         let is_of_all = spec.gang && end.how == EndKind::Failed;
         let index = if is_of_all { 0 } else { end.task.index };
-        job.kept_ends.push(KeptEnd {
+        job.unrecorded_ends.push(UnrecordedEnd {
             worker,
             place: (name.time, name.step, index),
             run: end.number,
@@ -163,13 +163,13 @@
     }
 
     /// Another node knows of these ends now.
-    pub fn ends_are_witnessed(&mut self, ends: &[(JobId, JobState)]) {
+    pub fn mark_ends_known_to_peer(&mut self, ends: &[(JobId, JobState)]) {
         for (id, state) in ends {
             let Some(job) = self.job_ids.get(id).and_then(|&key| self.jobs.get_mut(key)) else {
                 continue;
             };
-            if job.state == *state && !job.witnessed {
-                job.witnessed = true;
+            if job.state == *state && !job.known_to_peer {
+                job.known_to_peer = true;
                 tracing::info!(request = %id, ?state, "end is shown before it is recorded");
             }
         }
@@ -177,7 +177,7 @@
 
     /// Progress that a former owner recorded of a job whose row is not there: it has
     /// ended, or its row could not be read yet.
-    pub fn remember(&mut self, id: JobId, progress: Progress) {
+    pub fn add_unread_job_progress(&mut self, id: JobId, progress: JobProgress) {
         if self.job_ids.contains_key(&id) {
             return;
         }
@@ -198,7 +198,7 @@
     }
 
     /// Makes the steps of one time.
-    fn begin_time(&mut self, key: JobKey, time: u32) {
+    fn begin_occurrence(&mut self, key: JobKey, time: u32) {
         let job = &self.jobs[key];
         let spec = Arc::clone(&job.spec);
         let id = job.id;
@@ -218,53 +218,53 @@
                 open: step.tasks,
                 ready: step.after.is_empty(),
                 advice: Advice::default(),
-                wakes_after: 0,
+                next_wake: 0,
             });
             keys.push(step_key);
             self.open_steps.push(step_key);
         }
-        self.jobs[key].times.insert(time, keys);
+        self.jobs[key].occurrences.insert(time, keys);
     }
 
     /// Begins those times of scheduled jobs that are due.
-    pub(super) fn begin_times(&mut self) {
+    pub(super) fn begin_due_occurrences(&mut self) {
         let jobs = &self.jobs;
         let has_ended = |key| jobs.get(key).is_none_or(|job: &Job| job.state.is_final());
         self.scheduled.retain(|&key| !has_ended(key));
         for key in self.scheduled.clone() {
-            while let Some(time) = self.due_time(key) {
-                self.begin_time(key, time);
+            while let Some(time) = self.due_occurrence(key) {
+                self.begin_occurrence(key, time);
             }
         }
     }
 
     /// A former owner's time of day may have been ahead of ours.
-    fn begin_recorded_times(&mut self, key: JobKey, progress: &Progress) {
+    fn begin_recorded_occurrences(&mut self, key: JobKey, progress: &JobProgress) {
         let recorded = progress.tasks.iter().map(|task| task.place.0 + 1).max();
-        let begun = self.jobs[key].times.len() as u32;
+        let begun = self.jobs[key].occurrences.len() as u32;
         for time in begun..recorded.unwrap_or_default() {
-            self.begin_time(key, time);
+            self.begin_occurrence(key, time);
         }
     }
 
     /// The next time of a scheduled job, if it is due.
-    fn due_time(&self, key: JobKey) -> Option<u32> {
+    fn due_occurrence(&self, key: JobKey) -> Option<u32> {
         let today = self.unix_time?;
         let job = &self.jobs[key];
         let schedule = job.spec.schedule?;
-        let next = job.times.len() as u32;
+        let next = job.occurrences.len() as u32;
         let at = schedule.first + u64::from(next) * schedule.interval;
         (next < schedule.times && today >= at).then_some(next)
     }
 
     /// Tells the core the time since 1970 in milliseconds, for scheduled jobs.
-    pub fn tell_wall_clock(&mut self, today: Millis) {
+    pub fn set_wall_clock(&mut self, today: Millis) {
         self.unix_time = Some(today);
     }
 
     /// After a step is done, makes those ready that waited for it.
     pub(super) fn make_ready(&mut self, key: JobKey, time: u32) {
-        let Some(keys) = self.jobs[key].times.get(&time).cloned() else {
+        let Some(keys) = self.jobs[key].occurrences.get(&time).cloned() else {
             return;
         };
         for &step_key in &keys {
@@ -282,10 +282,10 @@
     pub(super) fn finish_if_done(&mut self, key: JobKey) {
         let job = &self.jobs[key];
         let times = job.spec.schedule.map_or(1, |schedule| schedule.times);
-        let begun_all = job.times.len() as u32 >= times;
+        let begun_all = job.occurrences.len() as u32 >= times;
         let done = begun_all
             && job
-                .times
+                .occurrences
                 .values()
                 .flatten()
                 .all(|&step| self.steps[step].open == 0);
@@ -303,23 +303,23 @@
         tracing::info!(job = %job.id, queue = job.queue.name, ?state, "job ends");
         job.state = state;
         job.dirty = true;
-        let steps: Vec<StepKey> = job.times.values().flatten().copied().collect();
+        let steps: Vec<StepKey> = job.occurrences.values().flatten().copied().collect();
         self.open_steps.retain(|step| !steps.contains(step));
     }
 
     /// Cancels a job.  Its tasks are stopped when that is recorded.
-    pub fn cancel(&mut self, id: JobId) -> Cancelling {
+    pub fn cancel(&mut self, id: JobId) -> CancelOutcome {
         let Some(&key) = self.job_ids.get(&id) else {
             return match self.ended.contains_key(&id) {
-                true => Cancelling::Final,
-                false => Cancelling::Unknown,
+                true => CancelOutcome::Final,
+                false => CancelOutcome::Unknown,
             };
         };
         let job = &self.jobs[key];
         if job.recorded.is_final() {
-            return Cancelling::Final;
+            return CancelOutcome::Final;
         }
         self.end_job(key, JobState::Cancelled);
-        Cancelling::Decided
+        CancelOutcome::Decided
     }
 }
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -7,7 +7,7 @@
 
 use crate::cell::crash::Loss;
 use crate::cell::name::{StepName, TaskName};
-use crate::cell::progress::Progress;
+use crate::cell::progress::RunProgress;
 use crate::cell::sequence::Sequence;
 use crate::cell::spec::{JobId, JobSpec, Step};
 use crate::cell::{JobKey, RunKey, StepKey, WorkerKey, WorkspaceKey, tuning};
@@ -48,7 +48,7 @@
 
 /// An end of a run that is not recorded yet: only the worker that lists it can tell a successor.
 #[derive(Debug, Clone, Copy)]
-pub struct KeptEnd {
+pub struct UnrecordedEnd {
     /// The worker.
     pub worker: WorkerKey,
     /// The time, step and index of the task.
@@ -73,25 +73,25 @@
     /// What the policy decided about it.
     pub ordering: Ordering,
     /// The queue is in the configuration in force.
-    pub routed: bool,
+    pub queue_configured: bool,
     /// How far it is, as decided.
     pub state: JobState,
     /// How far it is, as recorded.
     pub recorded: JobState,
     /// Another node knows of its end, so that may be shown before it is recorded.
-    pub witnessed: bool,
+    pub known_to_peer: bool,
     /// What of its progress is not recorded yet.
-    pub kept_ends: Vec<KeptEnd>,
+    pub unrecorded_ends: Vec<UnrecordedEnd>,
     /// When it was taken in, by our clock.
-    pub since: Millis,
+    pub accepted_at: Millis,
     /// How long its steps take one after the other, by its caller's guesses.
-    pub chain: Millis,
+    pub critical_path: Millis,
     /// A former owner may have started its tasks.
     pub predates: bool,
     /// Starts of its tasks may have been forgotten with a former owner, so each is recorded first.
-    pub careful: bool,
+    pub record_starts_first: bool,
     /// Its steps by time.
-    pub times: BTreeMap<u32, Vec<StepKey>>,
+    pub occurrences: BTreeMap<u32, Vec<StepKey>>,
     /// Its progress has changed since it was last recorded.
     pub dirty: bool,
 }
@@ -118,7 +118,7 @@
     /// When the last question was answered or failed.
     pub asked: Millis,
     /// There was nothing to ask about; this is looked at again from then on.
-    pub looked_after: Millis,
+    pub search_after: Millis,
 }
 
 /// One step of a job at one time.
@@ -139,7 +139,7 @@
     /// Where it may run.
     pub advice: Advice,
     /// It wakes no parked workers before.
-    pub wakes_after: Millis,
+    pub next_wake: Millis,
 }
 
 impl StepRun {
@@ -224,20 +224,20 @@
     /// How sure it is that it goes on.
     pub phase: Phase,
     /// When it was first known to have begun, by our clock; 0 before that.
-    pub answered: Millis,
+    pub began_at: Millis,
     /// When that was heard, from the start's answer or a list: only the list of a look that
     /// was sent later can show that the run is over.
-    pub begun: Option<Sequence>,
+    pub start_heard: Option<Sequence>,
     /// When it was heard that the start brought no answer.
-    pub doubted: Option<Sequence>,
+    pub doubt_heard: Option<Sequence>,
     /// The worker was heard just before the start was sent, so a crash tells even without an answer.
-    pub is_telling: bool,
+    pub crash_is_evidence: bool,
     /// By the worker's clock, when the start can no longer take effect.
     pub expires: Millis,
     /// It goes on from saved progress.
     pub restored: bool,
     /// What was seen of its progress.
-    pub progress: Progress,
+    pub progress: RunProgress,
     /// Set if it is to end.
     pub stop: Option<Stop>,
     /// It is tried by itself, since its task may crash its workers.
@@ -249,16 +249,16 @@
 impl Run {
     /// Tells whether a worker's answer to the start shows another clock than the one by which it
     /// was sent: that one has begun anew, and so has the worker.
-    pub(super) fn is_of_other_clock(&self, clock: Millis) -> bool {
-        clock + tuning::START_VALID + tuning::LEASE_MARGIN < self.expires
+    pub(super) fn is_from_other_clock(&self, clock: Millis) -> bool {
+        clock + tuning::START_VALIDITY + tuning::LEASE_MARGIN < self.expires
     }
 
     /// The worker has confirmed that the run began; the first time that was heard counts.
-    pub(super) fn has_begun(&mut self, heard: Sequence, now: Millis) {
+    pub(super) fn confirm_started(&mut self, heard: Sequence, now: Millis) {
         self.phase = Phase::Running;
-        if self.begun.is_none() {
-            self.begun = Some(heard);
-            self.answered = now;
+        if self.start_heard.is_none() {
+            self.start_heard = Some(heard);
+            self.began_at = now;
         }
     }
 }
--- a/src/cell/lapse.rs
+++ b/src/cell/lapse.rs
@@ -74,5 +74,5 @@
 
 /// The time by our clock in which `time` has passed by any other node's.
 fn with_clock_drift(time: Millis) -> Millis {
-    time + time * tuning::DRIFT_PERMILLE / 1_000
+    time + time * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000
 }
--- a/src/cell/life.rs
+++ b/src/cell/life.rs
@@ -74,11 +74,11 @@
 impl FormerLives {
     /// How long a former life can matter: its orders may come late, and what they start has the
     /// longest lease.
-    pub const RELEVANT_FOR: Millis = tuning::ORDERS_LATE + Self::LONGEST_LEASE;
+    pub const RELEVANT_FOR: Millis = tuning::MAX_ORDER_DELAY + Self::LONGEST_LEASE;
 
     /// The longest lease of a worker, by our clock.
-    pub const LONGEST_LEASE: Millis = tuning::LONGEST_LEASE
-        + tuning::LONGEST_LEASE * tuning::DRIFT_PERMILLE / 1_000
+    pub const LONGEST_LEASE: Millis = tuning::MAX_LEASE
+        + tuning::MAX_LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000
         + tuning::LEASE_MARGIN;
 
     /// Those and one more.
--- a/src/cell/look.rs
+++ b/src/cell/look.rs
@@ -7,14 +7,16 @@
 use crate::cell::life::FormerLives;
 use crate::cell::membership::LostBy;
 use crate::cell::name::TaskName;
-use crate::cell::order::{EndEntry, EndKind, Look, LookFailure, LookOrder, Refusal, RunningEntry};
+use crate::cell::order::{
+    EndEntry, EndKind, PollFailure, PollOrder, PollReport, Refusal, RunningEntry,
+};
 use crate::cell::worker::Worker;
 use crate::cell::{Cell, RunKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
 impl Cell {
     /// Takes in what a look brought.
-    pub fn look_answered(&mut self, order: &LookOrder, look: &Look, now: Millis) {
+    pub fn look_answered(&mut self, order: &PollOrder, look: &PollReport, now: Millis) {
         let key = order.to.worker;
         let heard = self.next_sequence();
         let Some(worker) = self.workers.get_mut(key) else {
@@ -71,16 +73,16 @@
     }
 
     /// A look brought nothing.
-    pub fn look_failed(&mut self, key: WorkerKey, failure: LookFailure, now: Millis) {
+    pub fn look_failed(&mut self, key: WorkerKey, failure: PollFailure, now: Millis) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         match failure {
-            LookFailure::Refused(Refusal::Gone) => {
+            PollFailure::Refused(Refusal::Gone) => {
                 self.lose_worker(key, now, LostBy::OtherLife);
             }
-            LookFailure::Refused(Refusal::Busy) => {}
-            LookFailure::Refused(_) | LookFailure::Unanswered => {
+            PollFailure::Refused(Refusal::Busy) => {}
+            PollFailure::Refused(_) | PollFailure::Unanswered => {
                 if !worker.is_silent() {
                     tracing::info!(
                         worker = worker.entry.life.id,
@@ -116,7 +118,7 @@
         };
         let worker = &mut self.workers[key];
         worker.holds_ends |= held.is_some();
-        worker.more_ends |= ends.len() >= tuning::MOST_ENDS_LISTED;
+        worker.more_ends |= ends.len() >= tuning::MAX_ENDS_LISTED;
         worker.accept_ends_up_to(forgettable.unwrap_or_default());
         match held {
             Some(first) if worker.held_end != first.place => {
@@ -152,12 +154,12 @@
             .spec
             .schedule
             .is_some_and(|schedule| time < schedule.times);
-        comes && !job.state.is_final() && !job.times.contains_key(&time)
+        comes && !job.state.is_final() && !job.occurrences.contains_key(&time)
     }
 
     fn process_end(&mut self, key: WorkerKey, end: &EndEntry, now: Millis) {
         if matches!(end.how, EndKind::Done | EndKind::Failed) {
-            self.note_kept_end(key, end);
+            self.note_unrecorded_end(key, end);
         }
         if let Some(run) = self.find_run(key, end.task, end.number) {
             self.run_ended(run, end, now);
@@ -193,8 +195,8 @@
     /// Takes in what runs, and returns which runs of ours that is.
     fn process_running(
         &mut self,
-        order: &LookOrder,
-        look: &Look,
+        order: &PollOrder,
+        look: &PollReport,
         newest: bool,
         now: Millis,
     ) -> BTreeSet<RunKey> {
@@ -246,9 +248,9 @@
 
     /// What a worker lists long after it has confirmed a stop outweighs that: the run goes
     /// on, so the stop is repeated as if it had not been confirmed.
-    fn clear_stale_stop_confirmation(&mut self, key: RunKey, order: &LookOrder) {
+    fn clear_stale_stop_confirmation(&mut self, key: RunKey, order: &PollOrder) {
         if let Some(stop) = &mut self.runs[key].stop
-            && stop.sent + tuning::STOP_LIMIT < order.sent
+            && stop.sent + tuning::MAX_STOP_TIME < order.sent
         {
             stop.confirmed = stop.confirmed.filter(|&heard| heard >= order.sequence);
         }
@@ -280,10 +282,10 @@
             sent_to: worker,
             number: entry.number,
             phase: Phase::Running,
-            answered: now,
-            begun: Some(self.workers[worker].list_heard),
-            doubted: None,
-            is_telling: false,
+            began_at: now,
+            start_heard: Some(self.workers[worker].list_heard),
+            doubt_heard: None,
+            crash_is_evidence: false,
             expires: 0,
             restored: false,
             progress: Default::default(),
@@ -296,7 +298,7 @@
     fn update_progress(&mut self, key: RunKey, entry: &RunningEntry, clock: Millis, now: Millis) {
         self.note_survival(key);
         let run = &mut self.runs[key];
-        run.has_begun(self.workers[run.worker].list_heard, now);
+        run.confirm_started(self.workers[run.worker].list_heard, now);
         run.note_progress(entry.percent, clock, now);
         let (step, index) = (run.step, run.index);
         if !entry.saved.is_empty() && self.steps[step].tasks[index as usize].saved != entry.saved {
@@ -304,7 +306,7 @@
         }
         self.mark_job_running(self.steps[step].job);
         self.clear_losses_by_age(key, now);
-        self.judge_progress(key, now);
+        self.detect_slow_run(key, now);
     }
 
     /// Runs that the worker does not list are over if the list is later than their beginning
@@ -312,7 +314,7 @@
     fn remove_unlisted(
         &mut self,
         key: WorkerKey,
-        order: &LookOrder,
+        order: &PollOrder,
         clock: Millis,
         listed: &BTreeSet<RunKey>,
         now: Millis,
@@ -335,7 +337,7 @@
                 // It refuses by now what was meant for the former life.
                 _ if is_inherited => self.workers[key].quarantined_until <= now,
                 Phase::Planned | Phase::Sent => false,
-                Phase::Running => run.begun.is_some_and(|heard| heard < sent),
+                Phase::Running => run.start_heard.is_some_and(|heard| heard < sent),
                 Phase::Doubtful => {
                     let barred = run.stop.and_then(|stop| stop.confirmed);
                     barred.is_some_and(|heard| heard < sent)
@@ -363,13 +365,13 @@
 
 /// Tells whether a life may have a lease that was meant for the clock of a former one, of this owner
 /// or another: a late start gives it, also one that is refused.
-fn may_have_former_life_lease(worker: &Worker, look: &Look) -> bool {
+fn may_have_former_life_lease(worker: &Worker, look: &PollReport) -> bool {
     let is_young = look.born.is_some() && look.clock <= FormerLives::RELEVANT_FOR;
     is_young || worker.former.epoch_offset() > 0
 }
 
 /// Tells whether a life that has not answered before has forgotten ends: they are numbered from one.
-fn has_discarded_ends(worker: &Worker, look: &Look) -> bool {
+fn has_discarded_ends(worker: &Worker, look: &PollReport) -> bool {
     let is_next = |end: &EndEntry| end.place <= worker.seen_end + 1;
     let missing = worker.former.epoch_offset() > 0 && !look.ended.first().is_none_or(is_next);
     if missing {
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -7,7 +7,7 @@
 
 use crate::cell::job::Phase;
 use crate::cell::life::{FormerLives, NextLife};
-use crate::cell::order::{Look, LookOrder};
+use crate::cell::order::{PollOrder, PollReport};
 use crate::cell::sequence::Sequence;
 use crate::cell::worker::{Worker, WorkerEntry};
 use crate::cell::{Cell, RunKey, WorkerKey};
@@ -133,8 +133,8 @@
     /// Tells whether the answer to a look is another life's; if so, takes in that there is one.
     pub(super) fn detect_other_life(
         &mut self,
-        order: &LookOrder,
-        look: &Look,
+        order: &PollOrder,
+        look: &PollReport,
         now: Millis,
     ) -> bool {
         let key = order.to.worker;
@@ -183,7 +183,7 @@
     /// Orders name the id alone, so starts that were on their way to the former life may
     /// have been carried out by the new one: those go over to it until its first list tells.  Without
     /// that their tasks would be started again beside them.
-    fn replace_life(&mut self, order: &LookOrder, look: &Look, now: Millis) {
+    fn replace_life(&mut self, order: &PollOrder, look: &PollReport, now: Millis) {
         let key = order.to.worker;
         let mut next = Worker::next_life(&self.workers[key], look.born, now);
         next.listed = self.next_sequence();
@@ -219,7 +219,11 @@
 
     /// The runs that the new life lists, and those whose start it may have carried out or may
     /// carry out yet: it was not answered before the look was sent.
-    fn runs_of_next_life(&self, order: &LookOrder, look: &Look) -> (Vec<RunKey>, Vec<RunKey>) {
+    fn runs_of_next_life(
+        &self,
+        order: &PollOrder,
+        look: &PollReport,
+    ) -> (Vec<RunKey>, Vec<RunKey>) {
         let key = order.to.worker;
         let running = look.running.iter().map(|entry| (entry.task, entry.number));
         let ended = look.ended.iter().map(|entry| (entry.task, entry.number));
@@ -227,7 +231,7 @@
         let listed = found.filter_map(|(task, number)| self.find_run(key, task, number));
         let listed: Vec<RunKey> = listed.collect();
         let is_open = |run: &RunKey| {
-            let begun = self.runs[*run].begun;
+            let begun = self.runs[*run].start_heard;
             let may_begin = begun.is_none_or(|heard| heard > order.sequence);
             may_begin && !self.is_planned(*run) && !listed.contains(run)
         };
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -48,7 +48,7 @@
 use crate::cell::ledger::Ledger;
 use crate::cell::life::{FormerLives, Life};
 use crate::cell::membership::LostBy;
-use crate::cell::order::{Addressee, LookOrder, Order, StopOrder};
+use crate::cell::order::{Addressee, Order, PollOrder, StopOrder};
 use crate::cell::sequence::Sequence;
 use crate::cell::spec::{Demand, JobId};
 use crate::cell::view::Waiting;
@@ -159,7 +159,7 @@
     /// Jobs that ended under a former owner.
     ended: IndexMap<JobId, EndedJob>,
     /// Recorded progress of jobs whose rows could not be read yet.
-    unread_job_progress: IndexMap<JobId, record::Progress>,
+    unread_job_progress: IndexMap<JobId, record::JobProgress>,
     /// Ends that other nodes told of, of jobs whose rows were not read yet.
     early_ends: IndexMap<JobId, JobState>,
     /// What must be known of the lives of a worker that is not there, by its id.
@@ -189,7 +189,7 @@
     /// Which lanes to the advice service are in use by which kind of question.
     lanes: Vec<advice::Lane>,
     /// How far callers' guesses are off, by queue.
-    guesses: BTreeMap<String, progress::Guesses>,
+    guesses: BTreeMap<String, progress::EstimateError>,
     /// The share of workers that is good for a step, learned by queue.
     good_share: BTreeMap<String, f64>,
     /// Milliseconds since 1970, once told.
@@ -224,7 +224,7 @@
 impl Cell {
     /// Begins an ownership of the cell at `now` under `epoch`.
     pub fn new(epoch: u64, config: Arc<Configuration>, now: Millis) -> Self {
-        let window = tuning::LEASE + tuning::LEASE * tuning::DRIFT_PERMILLE / 1_000;
+        let window = tuning::LEASE + tuning::LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000;
         Self {
             epoch,
             next_run: epoch * tuning::RUNS_PER_EPOCH,
@@ -260,14 +260,14 @@
             unix_time: None,
             awaits_worker_list: false,
             evacuated_halls: Some(Arc::default()),
-            idle_reserve: tuning::MOST_IDLE,
+            idle_reserve: tuning::MAX_IDLE_AWAKE,
             parked: 0,
             parking_reviewed: 0,
             unparked: Vec::new(),
             roster_is_complete: true,
             settled: false,
             unsettled: roster::UnsettledJobs::Any,
-            settle_deadline: now + window + tuning::LEASE_MARGIN + tuning::OWNER_WINDOW,
+            settle_deadline: now + window + tuning::LEASE_MARGIN + tuning::OWNER_STOP_TIME,
             orders: Vec::new(),
             job_waits: Vec::new(),
             waiting: Waiting::new(),
@@ -301,7 +301,7 @@
         self.job_waits.push(Wait {
             until,
             priority: job.queue.priority,
-            time: now.saturating_sub(job.since),
+            time: now.saturating_sub(job.accepted_at),
         });
     }
 
@@ -314,7 +314,7 @@
         let job = self.jobs.get(*self.job_ids.get(&id)?)?;
         Some(if job.recorded.is_final() {
             job.recorded
-        } else if job.state.is_final() && job.witnessed {
+        } else if job.state.is_final() && job.known_to_peer {
             job.state
         } else if job.state.is_final() {
             JobState::Running
@@ -348,9 +348,13 @@
             return false;
         };
         if job.state.is_final() {
-            return !job.recorded.is_final() && !job.witnessed;
+            return !job.recorded.is_final() && !job.known_to_peer;
         }
-        let steps = job.times.values().flatten().map(|&key| &self.steps[key]);
+        let steps = job
+            .occurrences
+            .values()
+            .flatten()
+            .map(|&key| &self.steps[key]);
         let is_under_way = |step: &StepRun| {
             let runs = |task: &job::Task| task.done || !task.runs.is_empty();
             step.open == 0 || (step.ready && !step.step().lasting && step.tasks.iter().all(runs))
@@ -419,9 +423,9 @@
             match self.config.queue(&job.queue.name) {
                 Some(queue) => {
                     job.queue = queue.clone();
-                    job.routed = true;
+                    job.queue_configured = true;
                 }
-                None => job.routed = false,
+                None => job.queue_configured = false,
             }
             job.ordering = self.policy.order(&job.queue, &job.spec);
         }
@@ -440,7 +444,7 @@
         self.settle(now);
         self.review_parking(now);
         self.update_roster(now);
-        self.begin_times();
+        self.begin_due_occurrences();
         let workers = self.workers.iter();
         let due =
             workers.filter(|(_, worker)| worker.is_silent() || worker.leaving_since.is_some());
@@ -452,7 +456,7 @@
     }
 
     fn tick_worker(&mut self, key: WorkerKey, now: Millis) {
-        self.move_leaving(key, now);
+        self.stop_runs_outlasting_worker(key, now);
         self.note_suspects_of_silent(key, now);
         let worker = &self.workers[key];
         if !worker.is_silent() || now <= worker.lease_end {
@@ -488,14 +492,14 @@
     }
 
     /// Says how to look at a worker next; none if it is gone.
-    pub fn look_order(&mut self, key: WorkerKey, now: Millis) -> Option<LookOrder> {
+    pub fn look_order(&mut self, key: WorkerKey, now: Millis) -> Option<PollOrder> {
         let sequence = self.next_sequence();
         let look_wait = self.look_wait();
         let worker = self.workers.get(key)?;
         let ends = worker.next_forget(now);
         let waits = ends != NextForget::Deferred && worker.seen_end == worker.recorded_end;
         let lasting_silence = worker.has_uncertain_life() || !worker.has_recent_clock(now);
-        let order = LookOrder {
+        let order = PollOrder {
             to: self.addressee(key),
             sequence,
             sent: now,
@@ -524,8 +528,8 @@
     /// How long a look waits at a worker for an end: the more workers, the longer.
     fn look_wait(&self) -> Millis {
         let workers = (self.workers.len() - self.parked) as Millis;
-        let wait = workers * 1_000 / tuning::IDLE_LOOKS;
-        wait.clamp(tuning::LOOK_WAIT, tuning::LONGEST_LOOK_WAIT)
+        let wait = workers * 1_000 / tuning::MAX_IDLE_POLLS_PER_SECOND;
+        wait.clamp(tuning::POLL_WAIT, tuning::MAX_POLL_WAIT)
     }
 
     /// Tells whether ends of this worker wait to be recorded; it would list them again at once.
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -85,7 +85,7 @@
 
 /// Looks at a worker, and renews the lease of all that runs there.
 #[derive(Debug, Clone)]
-pub struct LookOrder {
+pub struct PollOrder {
     /// The worker.
     pub to: Addressee,
     /// Its place in the order of what is sent and heard.
@@ -204,7 +204,7 @@
 
 /// What a worker tells when it is looked at.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct PollReport {
     /// When this life of the worker started, in Unix milliseconds, if it tells.
     pub born: Option<Millis>,
     /// Its clock.
@@ -217,7 +217,7 @@
 
 /// Why a look brought nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LookFailure {
+pub enum PollFailure {
     /// The worker refused.
     Refused(Refusal),
     /// No answer, or not a whole one.
--- a/src/cell/parking.rs
+++ b/src/cell/parking.rs
@@ -46,7 +46,7 @@
     /// Some times a second, parks idle workers beyond the reserve, and wakes some when that has
     /// fallen to the half.
     pub(super) fn review_parking(&mut self, now: Millis) {
-        if now >= self.parking_reviewed + tuning::PARKING_REVIEW {
+        if now >= self.parking_reviewed + tuning::PARKING_INTERVAL {
             self.adjust_parking(now);
         }
     }
@@ -92,7 +92,7 @@
     fn park(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         let was_woken_lately =
-            worker.unparked_at > 0 && now < worker.unparked_at + tuning::AWAKE_FOR;
+            worker.unparked_at > 0 && now < worker.unparked_at + tuning::MIN_AWAKE_TIME;
         if !was_woken_lately {
             worker.parked = true;
             self.parked += 1;
@@ -130,12 +130,12 @@
     /// most of a full cell's rounds.
     pub(super) fn unpark_for_step(&mut self, key: StepKey, tasks: u32, now: Millis) {
         let step = &mut self.steps[key];
-        if self.parked == 0 || now < step.wakes_after {
+        if self.parked == 0 || now < step.next_wake {
             return;
         }
-        step.wakes_after = now + tuning::WAKING_PAUSE;
-        let most = tuning::MOST_WAKING.saturating_sub(self.count_waking(now));
-        let wanted = (tasks as usize).max(tuning::LEAST_WAKING);
+        step.next_wake = now + tuning::WAKE_INTERVAL;
+        let most = tuning::MAX_WAKING.saturating_sub(self.count_waking(now));
+        let wanted = (tasks as usize).max(tuning::MIN_WAKE_BATCH);
         let parked = self.parked_places(key).take(wanted.min(most));
         for worker in parked.collect::<Vec<_>>() {
             self.unpark(worker, now);
@@ -189,7 +189,7 @@
 
     fn is_waking(&self, key: WorkerKey, now: Millis) -> bool {
         let worker = &self.workers[key];
-        let is_new = worker.unparked_at > 0 && now < worker.unparked_at + tuning::WAKES_WITHIN;
+        let is_new = worker.unparked_at > 0 && now < worker.unparked_at + tuning::WAKE_TIMEOUT;
         is_new && !self.takes_work(key, now)
     }
 }
--- a/src/cell/plan.rs
+++ b/src/cell/plan.rs
@@ -14,7 +14,7 @@
 impl Cell {
     /// Tells whether a start of a task is recorded before it is sent.
     pub(super) fn is_recorded_first(&self, key: StepKey, index: u32) -> bool {
-        self.jobs[self.steps[key].job].careful || self.needs_trial(key, index)
+        self.jobs[self.steps[key].job].record_starts_first || self.needs_trial(key, index)
     }
 
     /// A life that the former owner may have used is over, or unheard for good: what it had started
@@ -40,8 +40,8 @@
     /// tasks.
     pub(super) fn mark_careful(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
-        if job.predates && !job.careful && !job.state.is_final() {
-            job.careful = true;
+        if job.predates && !job.record_starts_first && !job.state.is_final() {
+            job.record_starts_first = true;
             job.dirty = true;
         }
     }
@@ -58,7 +58,7 @@
         let job = self.steps[key].job;
         let planned = self.planned.iter().filter_map(|&run| self.runs.get(run));
         let of_job = planned.filter(|run| self.steps[run.step].job == job);
-        tuning::MOST_PLANNED.saturating_sub(of_job.count())
+        tuning::MAX_PLANNED_STARTS.saturating_sub(of_job.count())
     }
 
     /// Sends the starts that are recorded, and drops those whose place is no longer good.
--- a/src/cell/progress.rs
+++ b/src/cell/progress.rs
@@ -10,7 +10,7 @@
 
 /// What was seen of a run's progress.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Progress {
+pub struct RunProgress {
     /// The first percent that counts, and the worker's clock then.
     pub first: Option<(u32, Millis)>,
     /// The newest.
@@ -19,13 +19,13 @@
     pub slow: bool,
 }
 
-impl Progress {
+impl RunProgress {
     /// Hundredths of the work for each second, if watched for long enough.
     pub fn rate(&self) -> Option<f64> {
         let (first, from) = self.first?;
         let (last, until) = self.last;
         let watched = until.saturating_sub(from);
-        if watched < tuning::WATCH {
+        if watched < tuning::MIN_WATCH_TIME {
             return None;
         }
         Some(f64::from(last.saturating_sub(first)) * 1_000.0 / watched as f64)
@@ -34,7 +34,7 @@
 
 /// How far the guesses of a queue's callers are off.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Guesses {
+pub struct EstimateError {
     /// Runs that ended well.
     pub seen: u32,
     /// The largest share of a guess that a run took of late.
@@ -46,7 +46,7 @@
     /// nothing moves, so a while after the start does not count.
     pub(super) fn note_progress(&mut self, percent: u32, clock: Millis, now: Millis) {
         self.progress.last = (percent, clock);
-        let settled = !self.restored || now >= self.answered + tuning::RESTORE;
+        let settled = !self.restored || now >= self.began_at + tuning::RESTORE_TIME;
         if self.progress.first.is_none() && settled {
             self.progress.first = Some((percent, clock));
         }
@@ -65,7 +65,7 @@
 
 impl Cell {
     /// Gives a run up if it is so slow that a new start elsewhere is done sooner.
-    pub(super) fn judge_progress(&mut self, key: RunKey, now: Millis) {
+    pub(super) fn detect_slow_run(&mut self, key: RunKey, now: Millis) {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
         let spec = step.step();
@@ -73,7 +73,7 @@
             return;
         }
         // Slow on several workers it is the task that is long: it was stopped on each in turn, for ever.
-        if step.tasks[run.index as usize].slow_runs >= tuning::MOST_SLOW_RUNS {
+        if step.tasks[run.index as usize].slow_runs >= tuning::MAX_SLOW_RUNS {
             return;
         }
         let Some(rate) = run.progress.rate() else {
@@ -82,7 +82,7 @@
         let Some(expected) = self.expected_rate(key) else {
             return;
         };
-        if rate >= expected * tuning::SLOW_SHARE {
+        if rate >= expected * tuning::SLOW_RATE_SHARE {
             return;
         }
         let here = run.remaining(spec.estimate);
@@ -132,29 +132,29 @@
         }
         let queue = &self.jobs[step.job].queue.name;
         let guesses = self.guesses.get(queue)?;
-        let enough = guesses.seen >= tuning::GUESSES_NEEDED;
+        let enough = guesses.seen >= tuning::MIN_ESTIMATE_SAMPLES;
         let longest = step.step().estimate.max(1) as f64 * guesses.worst;
         enough.then_some(100_000.0 / longest)
     }
 
     /// Learns how far a queue's guesses are off, from a run that ended well.
-    pub(super) fn learn_guess(&mut self, run: &Run, now: Millis) {
+    pub(super) fn learn_estimate_error(&mut self, run: &Run, now: Millis) {
         let step = &self.steps[run.step];
         let estimate = step.step().estimate;
-        if run.restored || run.answered == 0 || estimate == 0 || step.step().gang {
+        if run.restored || run.began_at == 0 || estimate == 0 || step.step().gang {
             return;
         }
-        let took = now.saturating_sub(run.answered) as f64 / estimate as f64;
+        let took = now.saturating_sub(run.began_at) as f64 / estimate as f64;
         let queue = self.jobs[step.job].queue.name.clone();
         let guesses = self.guesses.entry(queue).or_default();
         guesses.seen += 1;
-        guesses.worst = took.max(guesses.worst * tuning::GUESS_FADE);
+        guesses.worst = took.max(guesses.worst * tuning::ESTIMATE_ERROR_DECAY);
     }
 
     /// Places nothing on a worker for a while, and then one task to try it.
     pub(super) fn shun(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
-        worker.health.shunned_until = now + tuning::SHUN;
+        worker.health.shunned_until = now + tuning::SHUN_TIME;
         worker.health.on_trial = true;
         tracing::info!(
             worker = worker.entry.life.id,
@@ -164,7 +164,7 @@
     }
 
     /// Moves what a leaving worker would take with it.
-    pub(super) fn move_leaving(&mut self, key: WorkerKey, now: Millis) {
+    pub(super) fn stop_runs_outlasting_worker(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         let (Some(since), Some(notice)) = (worker.leaving_since, worker.entry.leaving) else {
             return;
@@ -174,14 +174,14 @@
             .runs
             .iter()
             .copied()
-            .filter(|&run| self.outlasts(run, left))
+            .filter(|&run| self.outlasts_notice(run, left))
             .collect();
         for run in late {
             self.stop_run(run, now, "the worker leaves");
         }
     }
 
-    fn outlasts(&self, key: RunKey, left: Millis) -> bool {
+    fn outlasts_notice(&self, key: RunKey, left: Millis) -> bool {
         let run = &self.runs[key];
         let spec = self.steps[run.step].step();
         if run.phase != Phase::Running || run.stop.is_some() {
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cell::crash::Loss;
-use crate::cell::job::{JobState, KeptEnd};
+use crate::cell::job::{JobState, UnrecordedEnd};
 use crate::cell::sequence::Sequence;
 use crate::cell::spec::{JobId, JobSpec};
 use crate::cell::{Cell, JobKey, Milestone, StepKey, WorkerKey};
@@ -30,7 +30,7 @@
 
 /// The row of a job's progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Progress {
+pub struct JobProgress {
     /// How far the job is.
     pub state: JobState,
     /// What is known of tasks that are done, have failed or have saved progress.
@@ -38,14 +38,14 @@
     /// Starts of its tasks may have been forgotten with a former owner.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub careful: bool,
-    /// The name of the job's workspace: the row outlasts that of the job.
+    /// The name of the job's workspace: the row outlasts_notice that of the job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<String>,
 }
 
-impl Progress {
+impl JobProgress {
     /// Tells whether an end of a run is in it: that of the job covers all.
-    fn holds(&self, end: &KeptEnd) -> bool {
+    fn contains(&self, end: &UnrecordedEnd) -> bool {
         let mut tasks = self.tasks.iter();
         let is_in = |task: &TaskProgress| {
             task.place == end.place && (task.done || task.failed.contains(&end.run))
@@ -74,7 +74,7 @@
 #[derive(Debug, Default)]
 pub struct Batch {
     /// Jobs with their progress.
-    pub rows: Vec<(JobKey, JobId, Progress)>,
+    pub rows: Vec<(JobKey, JobId, JobProgress)>,
     /// For each worker the last end that is in the rows.
     pub ends: Vec<(WorkerKey, u64)>,
     /// Lives that are over of which nothing is noted but what is in the rows.
@@ -111,15 +111,15 @@
     }
 
     /// Tells whether a job's progress waits to be recorded.
-    pub fn has_unrecorded(&self) -> bool {
+    pub fn has_unrecorded_progress(&self) -> bool {
         self.jobs.values().any(|job| job.dirty)
     }
 
-    fn progress(&self, key: JobKey) -> Progress {
+    fn progress(&self, key: JobKey) -> JobProgress {
         let job = &self.jobs[key];
         let mut tasks = Vec::new();
         if !job.state.is_final() {
-            for &step_key in job.times.values().flatten() {
+            for &step_key in job.occurrences.values().flatten() {
                 let step = &self.steps[step_key];
                 for (index, task) in step.tasks.iter().enumerate() {
                     let lost = !task.losses.is_empty();
@@ -137,10 +137,10 @@
                 }
             }
         }
-        Progress {
+        JobProgress {
             state: job.state,
             tasks,
-            careful: job.careful,
+            careful: job.record_starts_first,
             workspace: self
                 .workspace_of(key)
                 .map(|workspace| workspace.name.clone()),
@@ -148,21 +148,21 @@
     }
 
     /// The batch is durable.
-    pub fn recorded(&mut self, batch: Batch, now: Millis) {
+    pub fn batch_recorded(&mut self, batch: Batch, now: Millis) {
         for (key, _, progress) in batch.rows {
             let Some(job) = self.jobs.get_mut(key) else {
                 continue;
             };
             job.recorded = progress.state;
-            job.kept_ends.retain(|end| !progress.holds(end));
+            job.unrecorded_ends.retain(|end| !progress.contains(end));
             for task in progress.tasks.iter().filter(|task| !task.losses.is_empty()) {
-                if let Some((step, index)) = self.find_place(key, task.place) {
+                if let Some((step, index)) = self.find_task(key, task.place) {
                     self.mark_losses_recorded(step, index, &task.losses);
                 }
             }
             if progress.state.is_final() {
                 self.record_wait(key, Milestone::End, now);
-                self.close_job(key, now);
+                self.stop_ended_job(key, now);
             }
         }
         self.release_lives(&batch.lost);
@@ -174,7 +174,7 @@
     }
 
     /// The batch did not come about; its jobs are recorded with the next one.
-    pub fn not_recorded(&mut self, batch: Batch) {
+    pub fn batch_failed(&mut self, batch: Batch) {
         for (key, _, _) in batch.rows {
             if let Some(job) = self.jobs.get_mut(key) {
                 job.dirty = true;
@@ -184,7 +184,7 @@
 
     /// The store will never take the batch: its jobs fail, which takes a short row, so that
     /// they do not hold up the record of all others.
-    pub fn cannot_be_recorded(&mut self, batch: Batch) {
+    pub fn batch_rejected(&mut self, batch: Batch) {
         for (key, id, progress) in batch.rows {
             tracing::error!(request = %id, tasks = progress.tasks.len(), "job fails: its progress cannot be recorded");
             if self.jobs.contains_key(key) {
@@ -195,15 +195,20 @@
     }
 
     /// Stops what is left of a job that has ended.
-    fn close_job(&mut self, key: JobKey, now: Millis) {
-        let steps: Vec<_> = self.jobs[key].times.values().flatten().copied().collect();
+    fn stop_ended_job(&mut self, key: JobKey, now: Millis) {
+        let steps: Vec<_> = self.jobs[key]
+            .occurrences
+            .values()
+            .flatten()
+            .copied()
+            .collect();
         for step in steps {
             self.stop_step(step, now, "job has ended");
         }
     }
 
     /// Jobs that ended under a former owner and whose rows are gone.
-    pub fn ended_before(&self) -> Vec<JobId> {
+    pub fn ended_under_former_owner(&self) -> Vec<JobId> {
         self.ended.keys().copied().collect()
     }
 
@@ -214,7 +219,12 @@
         let Some(&key) = self.job_ids.get(&id) else {
             return true;
         };
-        let steps: Vec<StepKey> = self.jobs[key].times.values().flatten().copied().collect();
+        let steps: Vec<StepKey> = self.jobs[key]
+            .occurrences
+            .values()
+            .flatten()
+            .copied()
+            .collect();
         let mut tasks = steps.iter().flat_map(|&step| &self.steps[step].tasks);
         let runs = tasks.any(|task| !task.runs.is_empty());
         if runs || !self.jobs[key].recorded.is_final() {
@@ -229,21 +239,21 @@
     }
 
     /// Finds a task of a job by its time, step and index.
-    fn find_place(&self, key: JobKey, place: (u32, u16, u32)) -> Option<(StepKey, u32)> {
+    fn find_task(&self, key: JobKey, place: (u32, u16, u32)) -> Option<(StepKey, u32)> {
         let (time, step, index) = place;
-        let steps = self.jobs[key].times.get(&time)?;
+        let steps = self.jobs[key].occurrences.get(&time)?;
         let step = steps.get(usize::from(step)).copied()?;
         let known = (index as usize) < self.steps[step].tasks.len();
         known.then_some((step, index))
     }
 
     /// Takes up the progress that a former owner recorded.
-    pub(super) fn restore(&mut self, key: JobKey, progress: &Progress, now: Millis) {
+    pub(super) fn restore(&mut self, key: JobKey, progress: &JobProgress, now: Millis) {
         let mut times: Vec<u32> = progress.tasks.iter().map(|t| t.place.0).collect();
         times.sort_unstable();
         times.dedup();
         for record in &progress.tasks {
-            let Some((step_key, index)) = self.find_place(key, record.place) else {
+            let Some((step_key, index)) = self.find_task(key, record.place) else {
                 tracing::warn!(job = %self.jobs[key].id, ?record.place, "progress of an unknown task");
                 continue;
             };
--- a/src/cell/reservation.rs
+++ b/src/cell/reservation.rs
@@ -34,7 +34,7 @@
 impl Cell {
     /// Reserves room for `count` tasks of a step, where it comes free first.
     pub(super) fn reserve(&self, key: StepKey, count: u32, round: &mut Round) {
-        if round.reserving >= tuning::MOST_RESERVING || !self.may_reserve(key) {
+        if round.reserving >= tuning::MAX_RESERVING_STEPS || !self.may_reserve(key) {
             return;
         }
         let mut slots = self.slots(key, count, round);
--- a/src/cell/round.rs
+++ b/src/cell/round.rs
@@ -56,6 +56,6 @@
     /// Counts a look for workers to ask about; false if there were enough in this round.
     pub(super) fn may_look_for_advice(&mut self) -> bool {
         self.looks += 1;
-        self.looks <= tuning::MOST_LOOKS
+        self.looks <= tuning::MAX_ADVICE_SEARCHES
     }
 }
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -12,7 +12,7 @@
     /// Finds the step of a task by name.
     pub(super) fn find_step(&self, task: TaskName) -> Option<StepKey> {
         let job = self.jobs.get(*self.job_ids.get(&task.step.job)?)?;
-        let steps = job.times.get(&task.step.time)?;
+        let steps = job.occurrences.get(&task.step.time)?;
         let key = steps.get(usize::from(task.step.step)).copied()?;
         let known = (task.index as usize) < self.steps[key].tasks.len();
         known.then_some(key)
@@ -108,7 +108,7 @@
         let worker_key = run.worker;
         // The life that it was meant for may be over, and another one have answered.
         let is_present = run.sent_to == worker_key;
-        let is_other = is_present && clock.is_some_and(|clock| run.is_of_other_clock(clock));
+        let is_other = is_present && clock.is_some_and(|clock| run.is_from_other_clock(clock));
         if let Some(clock) = clock.filter(|_| is_present && !is_other) {
             self.workers[worker_key].clock = Some((clock, now));
         }
@@ -121,7 +121,7 @@
         let run = &mut self.runs[key];
         match outcome {
             StartOutcome::Started => {
-                run.has_begun(heard, now);
+                run.confirm_started(heard, now);
                 let job = self.steps[run.step].job;
                 if self.jobs[job].state == JobState::Queued {
                     self.record_wait(job, Milestone::FirstStart, now);
@@ -131,7 +131,7 @@
             StartOutcome::Unanswered => {
                 if run.phase == Phase::Sent {
                     run.phase = Phase::Doubtful;
-                    run.doubted = Some(heard);
+                    run.doubt_heard = Some(heard);
                 }
                 if is_present {
                     self.workers[worker_key].mark_silent(now);
@@ -195,7 +195,7 @@
             // sent again in each round of decisions.
             Refusal::UnknownTask => {
                 let task = &mut self.steps[step_key].tasks[index as usize];
-                task.paused_until = now + tuning::REFUSED_PAUSE;
+                task.paused_until = now + tuning::UNKNOWN_TASK_PAUSE;
             }
             Refusal::Busy | Refusal::Epoch | Refusal::OldRun => {}
         }
@@ -298,7 +298,7 @@
         }
         match end.how {
             EndKind::Done => {
-                self.learn_guess(&run, now);
+                self.learn_estimate_error(&run, now);
                 self.task_done(run.step, run.index, end.number, now);
             }
             EndKind::Failed => self.task_failed(run.step, run.index, end.number, run.worker, now),
@@ -410,7 +410,7 @@
             }
             EndKind::Failed => {
                 worker.health.failures += 1;
-                if worker.health.failures >= tuning::FAILURES_IN_ROW {
+                if worker.health.failures >= tuning::MAX_CONSECUTIVE_FAILURES {
                     self.shun(key, now);
                 }
             }
@@ -463,7 +463,7 @@
         let texts = runs.iter().map(|&key| {
             let run = &self.runs[key];
             let task = self.steps[run.step].task_name(run.index);
-            let age = run.begun.map(|_| now.saturating_sub(run.answered));
+            let age = run.start_heard.map(|_| now.saturating_sub(run.began_at));
             format!("{task}:{} {:?} {age:?}", run.number, run.phase)
         });
         let texts: Vec<String> = texts.collect();
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -50,7 +50,7 @@
                 continue;
             }
             let job = &self.jobs[step.job];
-            if !job.routed || self.is_unsettled(step, &awaiting_look) {
+            if !job.queue_configured || self.is_unsettled(step, &awaiting_look) {
                 continue;
             }
             // Of most steps all tasks run, and a rank takes a look at the whole job.
@@ -407,10 +407,10 @@
             sent_to: worker_key,
             number,
             phase: Phase::Planned,
-            answered: 0,
-            begun: None,
-            doubted: None,
-            is_telling: false,
+            began_at: 0,
+            start_heard: None,
+            doubt_heard: None,
+            crash_is_evidence: false,
             expires: 0,
             restored: !self.steps[key].tasks[index as usize].saved.is_empty(),
             progress: Default::default(),
@@ -441,18 +441,18 @@
         let Some(clock) = self.workers[worker_key].clock_at(now) else {
             return;
         };
-        let due = clock + tuning::START_VALID;
-        self.workers[worker_key].extend_lease(now, tuning::START_VALID);
+        let due = clock + tuning::START_VALIDITY;
+        self.workers[worker_key].extend_lease(now, tuning::START_VALIDITY);
         let to = self.addressee(worker_key);
         let is_trial = self.runs[key].trial;
-        let is_telling = self.workers[worker_key].was_heard_recently(is_trial, now);
+        let crash_is_evidence = self.workers[worker_key].was_heard_recently(is_trial, now);
         let step = &self.steps[step_key];
         let ticket = step.advice.tickets.get(&worker_key);
         let saved = step.tasks[index as usize].saved.clone();
         let run = &mut self.runs[key];
         run.phase = Phase::Sent;
         run.expires = due;
-        run.is_telling = is_telling;
+        run.crash_is_evidence = crash_is_evidence;
         run.restored = !saved.is_empty();
         let order = StartOrder {
             to,
@@ -491,7 +491,7 @@
             request = %job.id,
             step = %step.name,
             predates = job.predates,
-            known_ms = now.saturating_sub(job.since),
+            known_ms = now.saturating_sub(job.accepted_at),
             starts = texts.join(", "),
             "starts ordered"
         );
--- a/src/cell/trial.rs
+++ b/src/cell/trial.rs
@@ -89,7 +89,8 @@
     pub(super) fn is_quiet(&self, worker: WorkerKey, step: StepKey, now: Millis) -> bool {
         self.workers[worker].runs.iter().all(|&run| {
             let run = &self.runs[run];
-            let settled = run.phase == Phase::Running && run.answered + tuning::QUIET <= now;
+            let settled =
+                run.phase == Phase::Running && run.began_at + tuning::START_SETTLED_AFTER <= now;
             settled || self.start_together(run.step, step)
         })
     }
--- a/src/cell/urgency.rs
+++ b/src/cell/urgency.rs
@@ -15,13 +15,13 @@
         let step = &self.steps[key];
         let job = &self.jobs[step.job];
         match job.ordering.turn {
-            Turn::Arrival => job.since,
+            Turn::Arrival => job.accepted_at,
             Turn::LeastWork => self.work_left(job),
             Turn::LeastLaxity => self.latest_start(job, step, now),
             Turn::Balanced => {
-                let price = self.work_left(job) / tuning::WORK_FOR_A_MILLISECOND;
+                let price = self.work_left(job) / tuning::WORK_PER_RANK_MS;
                 let latest = self.latest_start(job, step, now);
-                latest.saturating_add(price.min(tuning::MOST_HELD_BACK))
+                latest.saturating_add(price.min(tuning::MAX_WORK_PENALTY))
             }
         }
     }
@@ -29,7 +29,7 @@
     /// When what is left of a job's longest chain must start at the latest to end in the time that
     /// its queue grants.
     fn latest_start(&self, job: &Job, step: &StepRun, now: Millis) -> Millis {
-        let granted = job.queue.stretch * job.chain as f64;
+        let granted = job.queue.stretch * job.critical_path as f64;
         let granted = job.queue.slack.saturating_add(granted as Millis);
         let due = self
             .begins_at(job, step.name.time, now)
@@ -40,14 +40,15 @@
     /// From when on a job's time counts: since it was taken in, or since a scheduled time was due.
     fn begins_at(&self, job: &Job, time: u32, now: Millis) -> Millis {
         let (Some(schedule), Some(today)) = (job.spec.schedule, self.unix_time) else {
-            return job.since;
+            return job.accepted_at;
         };
         let due = schedule.first + u64::from(time) * schedule.interval;
-        now.saturating_sub(today.saturating_sub(due)).max(job.since)
+        now.saturating_sub(today.saturating_sub(due))
+            .max(job.accepted_at)
     }
 
     fn chain_left(&self, job: &Job, time: u32) -> Millis {
-        let Some(steps) = job.times.get(&time) else {
+        let Some(steps) = job.occurrences.get(&time) else {
             return 0;
         };
         critical_path(&job.spec, |place| self.steps[steps[place]].open > 0)
@@ -55,7 +56,11 @@
 
     /// The work of all tasks of a job that are not done, in core-milliseconds.
     fn work_left(&self, job: &Job) -> Millis {
-        let steps = job.times.values().flatten().map(|&key| &self.steps[key]);
+        let steps = job
+            .occurrences
+            .values()
+            .flatten()
+            .map(|&key| &self.steps[key]);
         let work = |step: &StepRun| work_of(step.step(), step.open);
         steps.map(work).fold(0, u64::saturating_add)
     }
--- a/src/cell/view.rs
+++ b/src/cell/view.rs
@@ -108,7 +108,7 @@
     pub fn view(&self, id: JobId, now: Millis) -> Option<JobView> {
         let state = self.state(id)?;
         let job = self.job_ids.get(&id).and_then(|&key| self.jobs.get(key));
-        let steps = job.map(|job| job.times.values().flatten());
+        let steps = job.map(|job| job.occurrences.values().flatten());
         Some(JobView {
             id: id.to_string(),
             queue: job.map_or_else(String::new, |job| job.queue.name.clone()),
@@ -158,7 +158,7 @@
         if !step.ready {
             return WaitReason::EarlierSteps;
         }
-        if !job.routed {
+        if !job.queue_configured {
             return WaitReason::NoQueue;
         }
         if self.is_unsettled(step, &self.jobs_awaiting_look()) {
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -287,7 +287,8 @@
     pub fn next_forget(&self, now: Millis) -> NextForget {
         if self.recorded_end == self.forgotten_end || self.has_uncertain_life() {
             NextForget::Nothing
-        } else if now.saturating_sub(self.heard) < tuning::SHORTEST_AWAY || self.forget_deferred {
+        } else if now.saturating_sub(self.heard) < tuning::MIN_RESTART_TIME || self.forget_deferred
+        {
             NextForget::UpTo(self.recorded_end)
         } else {
             NextForget::Deferred
@@ -414,7 +415,8 @@
 
     /// Notes that an order with a lease of `lease` is sent now.
     pub fn extend_lease(&mut self, now: Millis, lease: Millis) {
-        let longest = lease + lease * tuning::DRIFT_PERMILLE / 1_000 + tuning::LEASE_MARGIN;
+        let longest =
+            lease + lease * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000 + tuning::LEASE_MARGIN;
         self.lease_end = self.lease_end.max(now + longest);
     }
 
@@ -422,9 +424,9 @@
     /// those a longer time will do.
     pub fn was_heard_recently(&self, is_trial: bool, now: Millis) -> bool {
         let lately = if is_trial {
-            tuning::FRESH
+            tuning::FRESH_START_AGE
         } else {
-            tuning::LATELY
+            tuning::RECENTLY_HEARD
         };
         now.saturating_sub(self.heard) <= lately
     }
@@ -432,7 +434,7 @@
     /// An order that was meant for another clock may have given it the longest lease.  What it is given
     /// later runs under that lease as well, so a successor is told of it also while nothing runs.
     pub fn assume_longest_lease(&mut self, now: Millis) {
-        self.extend_lease(now, tuning::LONGEST_LEASE);
+        self.extend_lease(now, tuning::MAX_LEASE);
         self.long_lease_until = self.lease_end;
     }
 
--- a/src/embedded/worker.rs
+++ b/src/embedded/worker.rs
@@ -12,7 +12,7 @@
 
 use crate::cell::name::TaskName;
 use crate::cell::order::{
-    EndEntry, EndKind, Look, LookFailure, LookOrder, Refusal, RunningEntry, StartOrder,
+    EndEntry, EndKind, PollFailure, PollOrder, PollReport, Refusal, RunningEntry, StartOrder,
     StartOutcome, StopOrder,
 };
 use crate::clock::{Clock, Millis};
@@ -233,10 +233,10 @@
     ///
     /// # Errors
     /// Refuses orders of a lower epoch.
-    pub fn look(&mut self, order: &LookOrder, now: Millis) -> Result<Look, LookFailure> {
+    pub fn look(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
         self.settle(now);
         if order.to.epoch < self.epoch {
-            return Err(LookFailure::Refused(Refusal::Epoch));
+            return Err(PollFailure::Refused(Refusal::Epoch));
         }
         self.epoch = order.to.epoch;
         self.extend(order.due.unwrap_or_default(), now);
@@ -248,7 +248,7 @@
             percent: percent(run, now),
             figure: None,
         });
-        Ok(Look {
+        Ok(PollReport {
             born: self.born,
             clock: now,
             running: running.collect(),
@@ -295,13 +295,13 @@
         self.workers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn look_until_end(&self, order: &LookOrder) -> Result<Look, LookFailure> {
+    async fn look_until_end(&self, order: &PollOrder) -> Result<PollReport, PollFailure> {
         let until = self.clock.now() + order.wait;
         loop {
             let now = self.clock.now();
             let look = match self.lock().get_mut(&order.to.life.id) {
                 Some(worker) => worker.look(order, now),
-                None => Err(LookFailure::Refused(Refusal::Gone)),
+                None => Err(PollFailure::Refused(Refusal::Gone)),
             };
             let news = look.as_ref().map_or(true, |look| !look.ended.is_empty());
             if news || now >= until {
@@ -336,7 +336,7 @@
         .boxed()
     }
 
-    fn look<'a>(&'a self, order: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>> {
+    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         self.look_until_end(order).boxed()
     }
 }
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -316,7 +316,7 @@
                 self.objectives.ended(*id, self.now);
             }
         }
-        self.cell.recorded(batch, self.now);
+        self.cell.batch_recorded(batch, self.now);
     }
 
     fn outcome(self) -> Outcome {
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-use crate::cell::intake::Cancelling;
+use crate::cell::intake::CancelOutcome;
 use crate::cell::job::JobState;
 use crate::cell::record::JobRow;
 use crate::cell::spec::JobId;
@@ -162,7 +162,7 @@
     /// Tells whether orders may be given: the ownership was confirmed of late.
     pub fn is_active(&self) -> bool {
         let confirmed = self.confirmed.load(Ordering::Relaxed);
-        !self.is_retired() && self.shared.now().saturating_sub(confirmed) < tuning::OWNER_WINDOW
+        !self.is_retired() && self.shared.now().saturating_sub(confirmed) < tuning::OWNER_STOP_TIME
     }
 
     /// The row of ownership was seen to be ours by a call that was sent at `sent`.
@@ -236,7 +236,7 @@
     /// Ends that the store could not take so far; none while it takes them.
     pub fn early_ends(&self) -> Vec<(JobId, JobState)> {
         if self.is_stalled() {
-            self.cell().unrecorded_ends()
+            self.cell().unrecorded_job_ends()
         } else {
             Vec::new()
         }
@@ -250,9 +250,9 @@
     }
 
     /// Another node knows of these ends now.
-    pub fn ends_are_witnessed(&self, ends: &[(JobId, JobState)]) {
+    pub fn mark_ends_known_to_peer(&self, ends: &[(JobId, JobState)]) {
         if !ends.is_empty() {
-            self.cell().ends_are_witnessed(ends);
+            self.cell().mark_ends_known_to_peer(ends);
             self.recorded.notify_waiters();
         }
     }
@@ -261,7 +261,7 @@
     pub fn believe_ends(&self, ends: &[(JobId, JobState)]) {
         for &(id, state) in ends {
             tracing::info!(request = %id, ?state, "end was decided by a former owner");
-            self.cell().believe_end(id, state);
+            self.cell().accept_peer_end(id, state);
         }
         self.record.notify_one();
     }
@@ -316,7 +316,7 @@
     pub async fn cancel(&self, asked: &Question) -> NodeReply {
         let id = asked.job;
         let mut decided = self.cell().cancel(id);
-        if decided == Cancelling::Unknown {
+        if decided == CancelOutcome::Unknown {
             match loading::find_job(&self.shared, id).await {
                 Ok(Some(row)) => {
                     self.accepted(&row);
@@ -329,14 +329,14 @@
                 Err(_) => return NodeReply::Unavailable,
             }
         }
-        if decided != Cancelling::Decided {
+        if decided != CancelOutcome::Decided {
             return NodeReply::Cancelled;
         }
         self.record.notify_one();
         let wait = async {
             loop {
                 let recorded = self.recorded.notified();
-                if self.cell().cancel(id) == Cancelling::Final {
+                if self.cell().cancel(id) == CancelOutcome::Final {
                     return;
                 }
                 recorded.await;
@@ -367,7 +367,7 @@
                 if let Some(halls) = &halls {
                     cell.set_evacuated_halls(halls);
                 }
-                cell.tell_wall_clock(clock::since_1970());
+                cell.set_wall_clock(clock::since_1970());
                 cell.tick(now);
                 cell.schedule(now);
                 self.wake_unparked(&cell.take_unparked());
--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -116,7 +116,7 @@
         let mut unread = loaded.unread;
         let mut cleaner = Cleaner::default();
         cleaner.note(&loaded.rows);
-        cleaner.note_ended(self.cell().ended_before(), self.shared.now());
+        cleaner.note_ended(self.cell().ended_under_former_owner(), self.shared.now());
         loop {
             tokio::time::sleep(JOBS_POLL).await;
             if !unread.is_empty() {
@@ -157,7 +157,7 @@
     /// Tells whether the former owner gives no orders any more.  It may be told of jobs until
     /// then, and what it ran of them is found before their rows.
     fn has_former_owner_stopped(&self) -> bool {
-        self.shared.now() > self.since + tuning::OWNER_WINDOW
+        self.shared.now() > self.since + tuning::OWNER_STOP_TIME
     }
 
     fn apply_job_rows(&self, rows: &[Row]) {
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -8,7 +8,7 @@
 use futures::future::BoxFuture;
 
 use crate::cell::job::JobState;
-use crate::cell::record::{JobRow, Progress};
+use crate::cell::record::{JobProgress, JobRow};
 use crate::cell::spec::{JobId, JobSpec};
 use crate::cell::view::JobView;
 use crate::clock::Millis;
@@ -235,7 +235,7 @@
             return Told::Unavailable;
         };
         if let Some(row) = rows.first() {
-            return match serde_json::from_str::<Progress>(&row.value) {
+            return match serde_json::from_str::<JobProgress>(&row.value) {
                 Ok(progress) if caller.may_see(progress.workspace.as_deref()) => {
                     Told::State(progress.state)
                 }
--- a/src/node/heartbeat.rs
+++ b/src/node/heartbeat.rs
@@ -128,7 +128,7 @@
         let ends = beat.ends.clone();
         let answer = election::exchange(&shared, node.address, beat, BEAT_TIMEOUT).await;
         if let (Some(_), Some(engine)) = (answer, shared.engine()) {
-            engine.ends_are_witnessed(&ends);
+            engine.mark_ends_known_to_peer(&ends);
         }
     });
 }
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -3,7 +3,7 @@
 use futures::future::BoxFuture;
 
 use crate::cell::order::{
-    Look, LookFailure, LookOrder, Refusal, StartOrder, StartOutcome, StopOrder,
+    PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome, StopOrder,
 };
 use crate::cell::worker::WorkerEntry;
 use crate::clock::Millis;
@@ -18,7 +18,7 @@
     fn stop<'a>(&'a self, order: &'a StopOrder) -> BoxFuture<'a, Result<(), Option<Refusal>>>;
 
     /// Looks at a worker and renews its lease.
-    fn look<'a>(&'a self, order: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>>;
+    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>>;
 }
 
 /// Workers that may run a step, each with the ticket that a start must bring.
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 
 use crate::cell::Cell;
-use crate::cell::record::{JobRow, Progress};
+use crate::cell::record::{JobProgress, JobRow};
 use crate::cell::spec::JobId;
 use crate::cell::worker::WorkerEntry;
 use crate::clock;
@@ -136,7 +136,7 @@
     let now = shared.now();
     let config = shared.config().unwrap_or_default();
     let mut cell = Cell::new(epoch, config, now);
-    cell.tell_wall_clock(clock::since_1970());
+    cell.set_wall_clock(clock::since_1970());
     let (roster, workers) = RosterRows::read(&former.0);
     if roster.has_unreadable_rows() {
         cell.mark_roster_incomplete();
@@ -147,7 +147,7 @@
     if let Some(lapses) = recording::read_lapses(&former.0) {
         cell.apply_remaining_leases(&lapses, now);
     }
-    let mut recorded: HashMap<String, Progress> = HashMap::new();
+    let mut recorded: HashMap<String, JobProgress> = HashMap::new();
     for row in &progress {
         match serde_json::from_str(&row.value) {
             Ok(progress) => {
@@ -166,11 +166,11 @@
     }
     for (key, progress) in recorded {
         if let Ok(id) = key.parse() {
-            cell.remember(id, progress);
+            cell.add_unread_job_progress(id, progress);
         }
     }
     for (id, state) in shared.early_ends().unknown_to(epoch) {
-        cell.believe_end(id, state);
+        cell.accept_peer_end(id, state);
     }
     // Even if all is read, the former owner may be told of jobs for a while.
     cell.set_incomplete(true);
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -5,7 +5,7 @@
 
 use crate::cell::WorkerKey;
 use crate::cell::order::{
-    AdviceOrder, LookFailure, Order, Refusal, StartOrder, StartOutcome, StopOrder,
+    AdviceOrder, Order, PollFailure, Refusal, StartOrder, StartOutcome, StopOrder,
 };
 use crate::clock::Millis;
 use crate::node::engine::Engine;
@@ -73,7 +73,7 @@
             (Ok(()), None) => {}
             (Err(Some(Refusal::Gone)), _) => {
                 self.cell()
-                    .look_failed(order.to.worker, LookFailure::Refused(Refusal::Gone), now);
+                    .look_failed(order.to.worker, PollFailure::Refused(Refusal::Gone), now);
                 self.wake.notify_one();
             }
             (Err(refusal), _) => {
@@ -173,7 +173,7 @@
             }
             Err(failure) => {
                 self.cell().look_failed(key, failure, now);
-                if failure == LookFailure::Refused(Refusal::Epoch) {
+                if failure == PollFailure::Refused(Refusal::Epoch) {
                     self.shared.metrics.refusal(Refusal::Epoch.code());
                 }
                 self.wake.notify_one();
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -87,7 +87,7 @@
             let _ = tokio::time::timeout(RECORD_TICK, self.record.notified()).await;
             self.record_once(false).await;
             let is_written = self.roster_rows().is_written();
-            if !is_written || self.cell().has_unrecorded() {
+            if !is_written || self.cell().has_unrecorded_progress() {
                 self.record.notify_one();
             }
             tokio::time::sleep(RECORD_PAUSE).await;
@@ -197,10 +197,10 @@
     fn rejected(&self, batch: Batch, with_roster: bool) {
         match batch.rows.len() {
             0 => {}
-            1 if !with_roster => self.cell().cannot_be_recorded(batch),
+            1 if !with_roster => self.cell().batch_rejected(batch),
             jobs => {
                 self.most_jobs.store((jobs / 2).max(1), Ordering::Relaxed);
-                self.cell().not_recorded(batch);
+                self.cell().batch_failed(batch);
             }
         }
     }
@@ -228,7 +228,7 @@
 
     fn finish(&self, batch: Batch) {
         let now = self.shared.now();
-        self.cell().recorded(batch, now);
+        self.cell().batch_recorded(batch, now);
         self.recorded.notify_waiters();
         self.wake.notify_one();
     }
--- a/tests/asked_at_the_end.rs
+++ b/tests/asked_at_the_end.rs
@@ -125,7 +125,7 @@
     for _ in 0..time / 20 {
         pass(20).await;
         let beat = bed.node.shared.beat();
-        bed.engine.ends_are_witnessed(&beat.ends);
+        bed.engine.mark_ends_known_to_peer(&beat.ends);
     }
 }
 
--- a/tests/cancelling.rs
+++ b/tests/cancelling.rs
@@ -20,7 +20,7 @@
 use cell_core::{Bench, job, listed_run, queue, step, stops};
 use crossweir::cell::job::JobState;
 use crossweir::cell::order::{RunningEntry, StopOrder};
-use crossweir::cell::record::Progress;
+use crossweir::cell::record::JobProgress;
 use crossweir::cell::spec::JobId;
 
 const TASK: &str = "0000000000000007.0.0.0";
@@ -37,13 +37,13 @@
 fn successor_that_read(state: JobState) -> Bench {
     let mut bench = Bench::under(2, 1, &[queue("q", 0)]);
     bench.cell.set_incomplete(true);
-    let progress = Progress {
+    let progress = JobProgress {
         state,
         tasks: Vec::new(),
         careful: false,
         workspace: None,
     };
-    bench.cell.remember(JobId(7), progress);
+    bench.cell.add_unread_job_progress(JobId(7), progress);
     bench
 }
 
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -10,9 +10,9 @@
 use cell_core::{
     Bench, job, listed_run, queue, shared_configuration, starts, step, stops, worker, workspace,
 };
-use crossweir::cell::intake::Cancelling;
+use crossweir::cell::intake::CancelOutcome;
 use crossweir::cell::job::JobState;
-use crossweir::cell::order::{EndKind, Look, LookFailure, StartOutcome};
+use crossweir::cell::order::{EndKind, PollFailure, PollReport, StartOutcome};
 use crossweir::cell::record::JobRow;
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::spec::{Demand, JobId, Step};
@@ -150,7 +150,7 @@
         .start_answered(start.run, StartOutcome::Unanswered, None, bench.now);
     bench.look_at_all();
     let before = starts(&bench.decide());
-    bench.now += tuning::START_VALID + tuning::LEASE_MARGIN + 100;
+    bench.now += tuning::START_VALIDITY + tuning::LEASE_MARGIN + 100;
     bench.look_at_all();
     bench.look_at_all();
     let after = starts(&bench.decide());
@@ -170,7 +170,7 @@
     bench.accept(&owned(2, &team, vec![step(1, 4_000)]));
 
     // Act
-    assert_eq!(bench.cell.cancel(JobId(1)), Cancelling::Decided);
+    assert_eq!(bench.cell.cancel(JobId(1)), CancelOutcome::Decided);
     bench.record();
     assert_eq!(stops(&bench.cell.take_orders()).len(), 1);
     let before = starts(&bench.decide());
@@ -195,7 +195,7 @@
     // Act
     bench
         .cell
-        .look_failed(lost, LookFailure::Unanswered, bench.now);
+        .look_failed(lost, PollFailure::Unanswered, bench.now);
     bench.pass(200);
     let before = starts(&bench.decide());
     for _ in 0..AFTER_LEASES / 500 {
@@ -234,10 +234,10 @@
             0 => vec![listed_run("0000000000000001.0.0.0", 1_000_001)],
             _ => Vec::new(),
         };
-        let look = Look {
+        let look = PollReport {
             clock: bench.now,
             running,
-            ..Look::default()
+            ..PollReport::default()
         };
         let key = bench.worker(number);
         bench.hear(key, &look);
@@ -318,7 +318,7 @@
     let rows = bench.record().rows;
     let mut successor = Bench::under(2, 1, &[queue("q", 0)]);
     let (_, id, progress) = rows.into_iter().next().expect("a row");
-    successor.cell.remember(id, progress);
+    successor.cell.add_unread_job_progress(id, progress);
 
     // Assert
     assert_eq!(open, ([true, false, false, true], [true; 4]));
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -5,10 +5,10 @@
 use cell_core::{
     Bench, advised_queue, configuration, job, questions, queue, starts, step, stops, worker,
 };
-use crossweir::cell::intake::Cancelling;
+use crossweir::cell::intake::CancelOutcome;
 use crossweir::cell::job::JobState;
 use crossweir::cell::order::{
-    EndEntry, EndKind, Look, LookFailure, Refusal, RunningEntry, StartOrder, StartOutcome,
+    EndEntry, EndKind, PollFailure, PollReport, Refusal, RunningEntry, StartOrder, StartOutcome,
 };
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::spec::{JobId, Schedule, Step};
@@ -62,7 +62,7 @@
     bench.end(first.task, first.number, EndKind::Failed);
     bench
         .cell
-        .look_failed(lost, LookFailure::Unanswered, bench.now);
+        .look_failed(lost, PollFailure::Unanswered, bench.now);
     for _ in 0..50 {
         bench.pass(100);
         let other = (0..2).map(|n| bench.worker(n)).find(|&key| key != lost);
@@ -121,7 +121,7 @@
     let other = other.expect("another worker");
     bench
         .cell
-        .look_failed(lost, LookFailure::Unanswered, bench.now);
+        .look_failed(lost, PollFailure::Unanswered, bench.now);
     let again = starts_elsewhere(&mut bench, other);
     assert!(bench.now - began > 3_500, "the lease of 3.5 s has run out");
     assert_eq!(again[0].to.worker, other);
@@ -135,7 +135,7 @@
     let order = bench.start_all().remove(0);
     bench.cell.look_failed(
         order.to.worker,
-        LookFailure::Refused(Refusal::Gone),
+        PollFailure::Refused(Refusal::Gone),
         bench.now,
     );
     let again = bench.start_all();
@@ -198,12 +198,12 @@
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(2, 1_000)]));
     bench.start_all();
-    assert_eq!(bench.cell.cancel(JobId(9)), Cancelling::Unknown);
-    assert_eq!(bench.cell.cancel(JobId(1)), Cancelling::Decided);
+    assert_eq!(bench.cell.cancel(JobId(9)), CancelOutcome::Unknown);
+    assert_eq!(bench.cell.cancel(JobId(1)), CancelOutcome::Decided);
     assert!(stops(&bench.decide()).is_empty());
     bench.record();
     assert_eq!(stops(&bench.decide()).len(), 2);
-    assert_eq!(bench.cell.cancel(JobId(1)), Cancelling::Final);
+    assert_eq!(bench.cell.cancel(JobId(1)), CancelOutcome::Final);
 }
 
 #[test]
@@ -234,7 +234,7 @@
             .expect("a start")
     };
     let zero = at("w0");
-    let look = crossweir::cell::order::Look {
+    let look = crossweir::cell::order::PollReport {
         born: None,
         clock: next.now,
         running: vec![crossweir::cell::order::RunningEntry {
@@ -246,7 +246,7 @@
         }],
         ended: Vec::new(),
     };
-    let empty = crossweir::cell::order::Look {
+    let empty = crossweir::cell::order::PollReport {
         born: None,
         clock: next.now,
         ..Default::default()
@@ -471,10 +471,10 @@
 fn a_scheduled_job_runs_at_its_times_and_not_before() {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
-    bench.cell.tell_wall_clock(9_999);
+    bench.cell.set_wall_clock(9_999);
     bench.accept(&timed_job(&q));
     assert!(bench.start_all().is_empty());
-    bench.cell.tell_wall_clock(12_000);
+    bench.cell.set_wall_clock(12_000);
     bench.pass(10);
     let orders = bench.start_all();
     let times: Vec<u32> = orders.iter().map(|order| order.task.step.time).collect();
@@ -491,14 +491,14 @@
 fn a_successor_knows_which_times_of_a_scheduled_job_are_done() {
     let q = queue("q", 0);
     let mut former = Bench::new(1, std::slice::from_ref(&q));
-    former.cell.tell_wall_clock(11_000);
+    former.cell.set_wall_clock(11_000);
     former.accept(&timed_job(&q));
     let second = former.start_all().remove(1);
     former.end(second.task, second.number, EndKind::Done);
     former.look_at_all();
     let progress = former.record().rows.remove(0).2;
     let mut next = Bench::under(2, 1, std::slice::from_ref(&q));
-    next.cell.tell_wall_clock(11_000);
+    next.cell.set_wall_clock(11_000);
     let now = next.now;
     next.cell
         .accept(&timed_job(&q), Some(&progress), false, now);
@@ -524,8 +524,8 @@
     let before = bench.state(1);
 
     // Act.
-    let ends = bench.cell.unrecorded_ends();
-    bench.cell.ends_are_witnessed(&ends);
+    let ends = bench.cell.unrecorded_job_ends();
+    bench.cell.mark_ends_known_to_peer(&ends);
 
     // Assert.
     assert_eq!(before, Some(JobState::Running));
@@ -533,24 +533,24 @@
     assert!(!bench.cell.is_end_recorded(JobId(1)), "its row must stay");
     bench.record();
     assert!(bench.cell.is_end_recorded(JobId(1)));
-    assert_eq!(bench.cell.unrecorded_ends(), []);
+    assert_eq!(bench.cell.unrecorded_job_ends(), []);
 }
 
 #[test]
 fn a_successor_starts_nothing_of_a_job_whose_end_another_node_tells() {
     // Arrange: the worker that has listed the end is gone together with the owner.
     let q = queue("q", 0);
-    let ends = ended_and_not_recorded(&q).cell.unrecorded_ends();
+    let ends = ended_and_not_recorded(&q).cell.unrecorded_job_ends();
     let mut next = Bench::under(2, 2, std::slice::from_ref(&q));
 
     // Act: one node tells before the row is read, another one after.
     for (id, state) in &ends {
-        next.cell.believe_end(*id, *state);
+        next.cell.accept_peer_end(*id, *state);
     }
     let unread = next.state(1);
     next.accept(&job(1, &q, vec![step(1, 1_000)]));
     for (id, state) in &ends {
-        next.cell.believe_end(*id, *state);
+        next.cell.accept_peer_end(*id, *state);
     }
 
     // Assert.
@@ -582,7 +582,7 @@
     let cut = cell.worker_keys()[0];
 
     // Act.
-    cell.look_failed(cut, LookFailure::Unanswered, 1_050);
+    cell.look_failed(cut, PollFailure::Unanswered, 1_050);
     cell.tick(1_100);
 
     // Assert: the next owner must wait for it as well.
@@ -603,7 +603,7 @@
     let silent = bench.worker(0);
     bench
         .cell
-        .look_failed(silent, LookFailure::Unanswered, bench.now);
+        .look_failed(silent, PollFailure::Unanswered, bench.now);
     bench.pass(200);
     let (_, named) = bench.cell.roster();
 
@@ -642,7 +642,7 @@
     bench.look_at(reached);
     bench
         .cell
-        .look_failed(lost, LookFailure::Unanswered, bench.now);
+        .look_failed(lost, PollFailure::Unanswered, bench.now);
     bench.pass(100);
     let early = bench.start_all();
     let (_, passed_on) = bench.cell.roster();
@@ -725,7 +725,7 @@
     let key = bench.worker(0);
     let order = bench.cell.look_order(key, bench.now + 1);
     let order = order.expect("a known worker");
-    let overtaken = Look {
+    let overtaken = PollReport {
         born: None,
         clock: order.sent,
         running: vec![RunningEntry {
@@ -759,7 +759,7 @@
     let batch = bench.cell.take_batch(1);
     assert_eq!(batch.rows[0].2.tasks.len(), 1);
 
-    bench.cell.cannot_be_recorded(batch);
+    bench.cell.batch_rejected(batch);
     let short = bench.record();
 
     assert!(short.rows[0].2.tasks.is_empty());
@@ -784,7 +784,7 @@
         how: EndKind::Done,
         saved: String::new(),
     };
-    let mut look = Look {
+    let mut look = PollReport {
         born: None,
         clock: bench.now,
         running: Vec::new(),
@@ -851,7 +851,7 @@
     let began = bench.now;
     bench
         .cell
-        .look_failed(lost, LookFailure::Unanswered, bench.now);
+        .look_failed(lost, PollFailure::Unanswered, bench.now);
 
     // Act.
     let again = starts_elsewhere(&mut bench, other);
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -9,7 +9,8 @@
 use crossweir::cell::life::Life;
 use crossweir::cell::name::TaskName;
 use crossweir::cell::order::{
-    AdviceOrder, EndEntry, EndKind, Look, Order, RunningEntry, StartOrder, StartOutcome, StopOrder,
+    AdviceOrder, EndEntry, EndKind, Order, PollReport, RunningEntry, StartOrder, StartOutcome,
+    StopOrder,
 };
 use crossweir::cell::record::{Batch, JobRow};
 use crossweir::cell::spec::{Demand, JobId, JobSpec, Step};
@@ -285,7 +286,7 @@
                 percent,
                 figure: None,
             });
-        let look = Look {
+        let look = PollReport {
             born: None,
             clock: self.now,
             running: running.collect(),
@@ -295,7 +296,7 @@
     }
 
     /// Looks at one worker, which answers at once.
-    pub fn hear(&mut self, key: WorkerKey, look: &Look) {
+    pub fn hear(&mut self, key: WorkerKey, look: &PollReport) {
         let order = self.cell.look_order(key, self.now);
         let order = order.expect("a known worker");
         self.cell.look_answered(&order, look, self.now);
@@ -304,7 +305,7 @@
     /// Looks at one worker a moment later, which lists this.
     pub fn hear_of(&mut self, key: WorkerKey, running: Vec<RunningEntry>, ended: Vec<EndEntry>) {
         self.now += 10;
-        let look = Look {
+        let look = PollReport {
             born: None,
             clock: self.now,
             running,
@@ -329,7 +330,7 @@
             ends: batch.ends.clone(),
             lost: batch.lost.clone(),
         };
-        self.cell.recorded(batch, self.now);
+        self.cell.batch_recorded(batch, self.now);
         copy
     }
 
--- a/tests/crashing_tasks.rs
+++ b/tests/crashing_tasks.rs
@@ -19,8 +19,8 @@
 use crossweir::cell::Cell;
 use crossweir::cell::job::JobState;
 use crossweir::cell::name::TaskName;
-use crossweir::cell::order::{LookFailure, Order, Refusal, StartOrder, StartOutcome};
-use crossweir::cell::record::{JobRow, Progress};
+use crossweir::cell::order::{Order, PollFailure, Refusal, StartOrder, StartOutcome};
+use crossweir::cell::record::{JobProgress, JobRow};
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::spec::JobId;
 use crossweir::cell::tuning;
@@ -57,7 +57,7 @@
     back: BTreeMap<usize, Millis>,
     lives: u16,
     rows: BTreeMap<JobId, JobRow>,
-    progress: BTreeMap<JobId, Progress>,
+    progress: BTreeMap<JobId, JobProgress>,
     roster: Vec<RosterEntry>,
     /// Every start that a worker carried out.
     starts: BTreeMap<TaskName, usize>,
@@ -206,7 +206,7 @@
             };
             let answer = match self.workers.get_mut(&order.to.life.id) {
                 Some(worker) => worker.look(&order, self.now),
-                None => Err(LookFailure::Unanswered),
+                None => Err(PollFailure::Unanswered),
             };
             match answer {
                 Ok(look) => self.cell.look_answered(&order, &look, self.now),
@@ -223,7 +223,7 @@
         for (_, id, progress) in &batch.rows {
             self.progress.insert(*id, progress.clone());
         }
-        self.cell.recorded(batch, self.now);
+        self.cell.batch_recorded(batch, self.now);
     }
 
     /// How often a worker has carried out a start of the culprit.
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -27,7 +27,8 @@
 use cell_core::{Bench, configuration, job, queue, starts, step, worker};
 use crossweir::cell::Cell;
 use crossweir::cell::order::{
-    EndEntry, EndKind, Look, LookFailure, LookOrder, Refusal, StartOrder, StartOutcome, StopOrder,
+    EndEntry, EndKind, PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome,
+    StopOrder,
 };
 use crossweir::cell::record::JobRow;
 use crossweir::cell::tuning;
@@ -67,11 +68,11 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>> {
+    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         if order.to.life.id == "w0" && self.cut.load(Ordering::Relaxed) {
             return async {
                 tokio::time::sleep(LOOK_LIMIT).await;
-                Err(LookFailure::Unanswered)
+                Err(PollFailure::Unanswered)
             }
             .boxed();
         }
@@ -233,7 +234,7 @@
 
     // Act: it has ended, behind as many ends as are listed at once.
     bench.now += 100;
-    let look = Look {
+    let look = PollReport {
         born: None,
         clock: bench.now,
         running: Vec::new(),
@@ -260,7 +261,7 @@
 
     // Assert: by the worker's clock it would end later than we count.
     let clock = read + (bench.now - read) * 98 / 100;
-    let counted = tuning::LEASE + tuning::LEASE * tuning::DRIFT_PERMILLE / 1_000;
+    let counted = tuning::LEASE + tuning::LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000;
     let counted = counted + tuning::LEASE_MARGIN;
     let kept = due.map_or(0, |due| (due - clock) * 100 / 98);
     assert!(kept <= counted, "{kept} {counted}");
@@ -312,7 +313,7 @@
     // Act: the next call to it brings no answer.
     bench
         .cell
-        .look_failed(runs, LookFailure::Unanswered, bench.now);
+        .look_failed(runs, PollFailure::Unanswered, bench.now);
     bench.pass(100);
     bench.look_at(other);
     let early = starts(&bench.decide());
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -14,7 +14,7 @@
 
 use cell_core::{Bench, configuration, job, queue, starts, step, worker};
 use crossweir::cell::Cell;
-use crossweir::cell::order::{Look, RunningEntry, StartOutcome};
+use crossweir::cell::order::{PollReport, RunningEntry, StartOutcome};
 use crossweir::cell::spec::JobId;
 use crossweir::cell::tuning;
 use crossweir::clock::Millis;
@@ -36,7 +36,7 @@
         percent: 10,
         figure: None,
     };
-    let look = Look {
+    let look = PollReport {
         born: None,
         clock: bench.now,
         running: vec![entry],
--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -13,8 +13,8 @@
 
 use cell_core::{configuration, job, queue, starts, step, worker};
 use crossweir::cell::life::Life;
-use crossweir::cell::order::{Look, LookFailure, Refusal, StartOutcome};
-use crossweir::cell::record::{JobRow, Progress};
+use crossweir::cell::order::{PollFailure, PollReport, Refusal, StartOutcome};
+use crossweir::cell::record::{JobProgress, JobRow};
 use crossweir::cell::roster::{RosterChange, RosterEntry};
 use crossweir::cell::spec::JobId;
 use crossweir::cell::worker::WorkerEntry;
@@ -34,7 +34,7 @@
     epoch: u64,
     cell: Cell,
     roster: BTreeMap<String, RosterEntry>,
-    progress: BTreeMap<JobId, Progress>,
+    progress: BTreeMap<JobId, JobProgress>,
     /// What the platform lists.
     entries: Vec<WorkerEntry>,
     /// Workers that do not answer.
@@ -120,16 +120,16 @@
             let life = &order.to.life;
             let entry = self.entries.iter().find(|entry| entry.life.id == life.id);
             let Some(entry) = entry else {
-                let failure = LookFailure::Refused(Refusal::Gone);
+                let failure = PollFailure::Refused(Refusal::Gone);
                 self.cell.look_failed(key, failure, self.now);
                 continue;
             };
             if self.down.contains(&entry.life.id) {
-                let failure = LookFailure::Unanswered;
+                let failure = PollFailure::Unanswered;
                 self.cell.look_failed(key, failure, self.now);
                 continue;
             }
-            let look = Look {
+            let look = PollReport {
                 born: entry.life.born,
                 clock: self.now,
                 running: Vec::new(),
@@ -164,7 +164,7 @@
             self.progress.insert(*id, progress.clone());
         }
         self.cell.mark_roster_recorded(version);
-        self.cell.recorded(batch, self.now);
+        self.cell.batch_recorded(batch, self.now);
     }
 
     /// Decides; names the worker on which the culprit is started without a record, if it is.
@@ -324,7 +324,7 @@
     site.start_of_culprit();
     site.comes_back(&crashed, next(9_000));
     site.look();
-    site.cell.recorded(batch, site.now);
+    site.cell.batch_recorded(batch, site.now);
     let (_, roster) = site.cell.roster();
 
     // Assert.
--- a/tests/former_owner.rs
+++ b/tests/former_owner.rs
@@ -9,7 +9,7 @@
 
 use cell_core::{job, queue, step, worker};
 use crossweir::cell::order::{
-    Addressee, Look, LookFailure, LookOrder, Refusal, StartOrder, StartOutcome, StopOrder,
+    Addressee, PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome, StopOrder,
 };
 use crossweir::cell::record::JobRow;
 use crossweir::cell::{RunKey, WorkerKey, tuning};
@@ -39,7 +39,7 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>> {
+    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         self.inner.look(order)
     }
 }
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -31,7 +31,7 @@
 use crossweir::cell::Cell;
 use crossweir::cell::lapse::RemainingLeases;
 use crossweir::cell::order::{
-    Look, LookFailure, LookOrder, Refusal, StartOrder, StartOutcome, StopOrder,
+    PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome, StopOrder,
 };
 use crossweir::cell::record::JobRow;
 use crossweir::cell::roster::RosterEntry;
@@ -118,11 +118,11 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>> {
+    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         async {
             if self.seen.is_silent(&order.to.life.id) {
                 tokio::time::sleep(CALL_LIMIT).await;
-                return Err(LookFailure::Unanswered);
+                return Err(PollFailure::Unanswered);
             }
             if order.due.is_some() {
                 let renewal = (self.clock.now(), order.to.life.id.clone());
@@ -130,7 +130,7 @@
             }
             let look = self.inner.look(order).await;
             if self.seen.is_silent(&order.to.life.id) {
-                return Err(LookFailure::Unanswered);
+                return Err(PollFailure::Unanswered);
             }
             look
         }
@@ -392,7 +392,7 @@
     let only = bench.worker(0);
     bench
         .cell
-        .look_failed(only, LookFailure::Unanswered, bench.now);
+        .look_failed(only, PollFailure::Unanswered, bench.now);
     let told = bench.cell.seal_silent(bench.now);
 
     // Act: the worker answers again.
--- a/tests/late_entries.rs
+++ b/tests/late_entries.rs
@@ -19,7 +19,7 @@
 use cell_core::{Bench, configuration, job, queue, starts, step, worker};
 use crossweir::cell::job::JobState;
 use crossweir::cell::life::Life;
-use crossweir::cell::order::{Look, LookFailure, LookOrder, Refusal, StartOutcome};
+use crossweir::cell::order::{PollFailure, PollOrder, PollReport, Refusal, StartOutcome};
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::worker::WorkerEntry;
 use crossweir::cell::{Cell, WorkerKey};
@@ -49,7 +49,7 @@
 }
 
 /// The look that is sent next to the worker with this id, if it is known.
-fn look_to(bench: &mut Bench, id: &str) -> Option<LookOrder> {
+fn look_to(bench: &mut Bench, id: &str) -> Option<PollOrder> {
     let now = bench.now;
     let mut keys = bench.cell.worker_keys().into_iter();
     keys.find_map(|key| {
@@ -63,16 +63,16 @@
 }
 
 /// Another life answers at the address.
-fn answer_gone(bench: &mut Bench, order: &LookOrder) {
-    let gone = LookFailure::Refused(Refusal::Gone);
+fn answer_gone(bench: &mut Bench, order: &PollOrder) {
+    let gone = PollFailure::Refused(Refusal::Gone);
     bench.cell.look_failed(order.to.worker, gone, bench.now);
 }
 
 /// A worker that holds nothing answers.
-fn answer_empty(bench: &mut Bench, order: &LookOrder) {
-    let look = Look {
+fn answer_empty(bench: &mut Bench, order: &PollOrder) {
+    let look = PollReport {
         clock: bench.now,
-        ..Look::default()
+        ..PollReport::default()
     };
     bench.cell.look_answered(order, &look, bench.now);
 }
@@ -204,7 +204,7 @@
     for _ in 0..40 {
         bench
             .cell
-            .look_failed(order.to.worker, LookFailure::Unanswered, bench.now);
+            .look_failed(order.to.worker, PollFailure::Unanswered, bench.now);
         bench.pass(250);
         bench.record();
     }
--- a/tests/late_lists.rs
+++ b/tests/late_lists.rs
@@ -18,18 +18,18 @@
 
 use cell_core::{Bench, job, queue, starts, step, stops};
 use crossweir::cell::order::{
-    EndEntry, EndKind, Look, LookOrder, RunningEntry, StartOrder, StartOutcome,
+    EndEntry, EndKind, PollOrder, PollReport, RunningEntry, StartOrder, StartOutcome,
 };
 
 /// Sends a look to the one worker.
-fn send_look(bench: &mut Bench) -> LookOrder {
+fn send_look(bench: &mut Bench) -> PollOrder {
     let worker = bench.worker(0);
     let order = bench.cell.look_order(worker, bench.now);
     order.expect("a known worker")
 }
 
 /// A list arrives.
-fn arrives(bench: &mut Bench, sent: LookOrder, list: &Look) {
+fn arrives(bench: &mut Bench, sent: PollOrder, list: &PollReport) {
     bench.cell.look_answered(&sent, list, bench.now);
 }
 
@@ -74,8 +74,8 @@
 }
 
 /// A list that a worker writes now.
-fn list(bench: &Bench, running: &[RunningEntry], ended: &[EndEntry]) -> Look {
-    Look {
+fn list(bench: &Bench, running: &[RunningEntry], ended: &[EndEntry]) -> PollReport {
+    PollReport {
         born: None,
         clock: bench.now,
         running: running.to_vec(),
--- a/tests/leaving_ends.rs
+++ b/tests/leaving_ends.rs
@@ -9,7 +9,7 @@
 
 use cell_core::{Bench, job, queue, step, worker};
 use crossweir::cell::job::JobState;
-use crossweir::cell::order::{EndKind, LookFailure, StartOrder};
+use crossweir::cell::order::{EndKind, PollFailure, StartOrder};
 use crossweir::cell::spec::JobId;
 use crossweir::cell::worker::WorkerEntry;
 
@@ -45,7 +45,7 @@
 
     // Act
     bench.look_at_all();
-    let early = bench.cell.unrecorded_ends();
+    let early = bench.cell.unrecorded_job_ends();
     bench.record();
 
     // Assert
@@ -59,8 +59,8 @@
     bench.look_at_all();
     bench
         .cell
-        .look_failed(first.to.worker, LookFailure::Unanswered, bench.now);
-    assert_eq!(bench.cell.unrecorded_ends(), []);
+        .look_failed(first.to.worker, PollFailure::Unanswered, bench.now);
+    assert_eq!(bench.cell.unrecorded_job_ends(), []);
 }
 
 /// Nodes keep only the ends that the owner's newest heartbeat names: one that was shown and is named no more is
@@ -70,20 +70,20 @@
     // Arrange
     let (mut bench, first) = half_done();
     bench.look_at_all();
-    let shown = bench.cell.unrecorded_ends();
-    bench.cell.ends_are_witnessed(&shown);
+    let shown = bench.cell.unrecorded_job_ends();
+    bench.cell.mark_ends_known_to_peer(&shown);
     assert_eq!(bench.state(1), Some(JobState::Succeeded));
 
     // Act
     leave(&mut bench, &first);
-    let while_it_leaves = bench.cell.unrecorded_ends();
+    let while_it_leaves = bench.cell.unrecorded_job_ends();
     bench
         .cell
-        .look_failed(first.to.worker, LookFailure::Unanswered, bench.now);
+        .look_failed(first.to.worker, PollFailure::Unanswered, bench.now);
 
     // Assert
     assert_eq!(while_it_leaves, shown);
-    assert_eq!(bench.cell.unrecorded_ends(), shown);
+    assert_eq!(bench.cell.unrecorded_job_ends(), shown);
 }
 
 #[test]
@@ -98,7 +98,7 @@
 
     // Assert
     assert_eq!(
-        bench.cell.unrecorded_ends(),
+        bench.cell.unrecorded_job_ends(),
         [(JobId(1), JobState::Succeeded)]
     );
 }
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -10,9 +10,10 @@
 use crossweir::cell::job::JobState;
 use crossweir::cell::name::TaskName;
 use crossweir::cell::order::{
-    EndKind, Look, LookFailure, LookOrder, Order, Refusal, StartOrder, StartOutcome, StopOrder,
+    EndKind, Order, PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome,
+    StopOrder,
 };
-use crossweir::cell::record::{JobRow, Progress};
+use crossweir::cell::record::{JobProgress, JobRow};
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::spec::{Demand, JobId, Step};
 use crossweir::cell::tuning;
@@ -57,7 +58,7 @@
     }
 
     /// Answers a look.
-    pub fn look(&mut self, order: &LookOrder, now: Millis) -> Result<Look, LookFailure> {
+    pub fn look(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
         self.memory.look(order, now - self.began)
     }
 
@@ -105,7 +106,7 @@
     epoch: u64,
     jobs: u64,
     rows: BTreeMap<JobId, JobRow>,
-    progress: BTreeMap<JobId, Progress>,
+    progress: BTreeMap<JobId, JobProgress>,
     roster: Vec<RosterEntry>,
 }
 
@@ -234,11 +235,11 @@
     }
 
     /// A look arrives, and its answer is heard.
-    pub fn answer_look(&mut self, order: &LookOrder) {
+    pub fn answer_look(&mut self, order: &PollOrder) {
         let now = self.now;
         let answer = match self.alive.get_mut(&order.to.life.id) {
             Some(alive) => alive.look(order, now),
-            None => Err(LookFailure::Refused(Refusal::NotSent)),
+            None => Err(PollFailure::Refused(Refusal::NotSent)),
         };
         match answer {
             Ok(look) => self.cell.look_answered(order, &look, now),
@@ -316,7 +317,7 @@
         for (_, id, progress) in &batch.rows {
             self.progress.insert(*id, progress.clone());
         }
-        self.cell.recorded(batch, self.now);
+        self.cell.batch_recorded(batch, self.now);
     }
 
     /// How far a job is.
--- a/tests/many_heartbeats.rs
+++ b/tests/many_heartbeats.rs
@@ -12,7 +12,7 @@
 
 use cell_core::{job, queue, step, worker};
 use crossweir::cell::order::{
-    Look, LookFailure, LookOrder, Refusal, StartOrder, StartOutcome, StopOrder,
+    PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome, StopOrder,
 };
 use crossweir::cell::spec::Step;
 use crossweir::cell::worker::WorkerEntry;
@@ -49,7 +49,7 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>> {
+    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         self.inner.look(order)
     }
 }
--- a/tests/outlived_starts.rs
+++ b/tests/outlived_starts.rs
@@ -13,7 +13,7 @@
 
 use cell_core::{Bench, job, queue, starts, step};
 use crossweir::cell::job::JobState;
-use crossweir::cell::order::{Look, LookFailure, Refusal, StartOrder, StartOutcome};
+use crossweir::cell::order::{PollFailure, PollReport, Refusal, StartOrder, StartOutcome};
 use crossweir::clock::Millis;
 
 /// How long an owner waits for the answer to a start.
@@ -32,7 +32,7 @@
 
 /// Another life answers at the worker's address.
 fn lose(bench: &mut Bench, order: &StartOrder) {
-    let gone = LookFailure::Refused(Refusal::Gone);
+    let gone = PollFailure::Refused(Refusal::Gone);
     bench.cell.look_failed(order.to.worker, gone, bench.now);
     bench.pass(10);
 }
@@ -55,9 +55,9 @@
     let second = unanswered_start(&mut bench);
     assert_eq!(second.to.worker, other);
     bench.pass(HELD);
-    let look = Look {
+    let look = PollReport {
         clock: bench.now,
-        ..Look::default()
+        ..PollReport::default()
     };
     bench.cell.look_answered(&held, &look, bench.now);
     lose(&mut bench, &second);
--- a/tests/parked_workers.rs
+++ b/tests/parked_workers.rs
@@ -58,7 +58,7 @@
     for key in awake(&bench.cell) {
         bench.look_at(key);
     }
-    bench.pass(tuning::PARKING_REVIEW);
+    bench.pass(tuning::PARKING_INTERVAL);
     for key in awake(&bench.cell) {
         bench.look_at(key);
     }
@@ -81,8 +81,8 @@
 #[parameterized(
     small = { 48, 48 },
     grown = { 350, 350 },
-    a_fleet = { FLEET, tuning::MOST_IDLE },
-    twice_the_fleet = { 12_000, tuning::MOST_IDLE },
+    a_fleet = { FLEET, tuning::MAX_IDLE_AWAKE },
+    twice_the_fleet = { 12_000, tuning::MAX_IDLE_AWAKE },
 )]
 fn an_idle_cell_keeps_a_reserve_awake_and_in_the_roster(workers: u16, wanted: usize) {
     let bench = fleet(workers);
@@ -98,7 +98,7 @@
 
     let next = cell((0..FLEET).map(worker), roster);
 
-    assert!(awake(&next).len() <= 2 * tuning::MOST_IDLE);
+    assert!(awake(&next).len() <= 2 * tuning::MAX_IDLE_AWAKE);
 }
 
 #[test]
@@ -127,7 +127,7 @@
     assert_eq!(started.len(), 2_000);
     let reserve = awake(&bench.cell).len() - started.len();
     assert!(
-        (tuning::MOST_IDLE / 2..=2 * tuning::MOST_IDLE).contains(&reserve),
+        (tuning::MAX_IDLE_AWAKE / 2..=2 * tuning::MAX_IDLE_AWAKE).contains(&reserve),
         "{reserve}"
     );
 }
@@ -161,7 +161,7 @@
 
     // Assert
     assert!(unrecorded >= started.len(), "{unrecorded}");
-    assert!(awake(&bench.cell).len() <= 2 * tuning::MOST_IDLE);
+    assert!(awake(&bench.cell).len() <= 2 * tuning::MAX_IDLE_AWAKE);
 }
 
 #[parameterized(
@@ -288,7 +288,7 @@
     // Act
     let first = counts(&mut bench);
     let next = counts(&mut bench);
-    bench.now += tuning::WAKING_PAUSE;
+    bench.now += tuning::WAKE_INTERVAL;
     let later = counts(&mut bench);
 
     // Assert
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -10,7 +10,7 @@
 };
 use crossweir::cell::Cell;
 use crossweir::cell::life::Life;
-use crossweir::cell::order::{EndEntry, EndKind, Look, LookFailure};
+use crossweir::cell::order::{EndEntry, EndKind, PollFailure, PollReport};
 use crossweir::cell::record::JobRow;
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::spec::Schedule;
@@ -124,7 +124,7 @@
 /// job had begun.
 fn successor_with_a_slower_time_of_day(q: &Queue) -> Bench {
     let mut bench = Bench::under(2, 2, std::slice::from_ref(q));
-    bench.cell.tell_wall_clock(9_800);
+    bench.cell.set_wall_clock(9_800);
     let now = bench.now;
     bench.cell.accept(&timed_job(q), None, true, now);
     bench
@@ -157,7 +157,7 @@
     bench.hear_of(worker, Vec::new(), ends());
     bench.record();
     let forget = bench.cell.look_order(worker, bench.now).map(|o| o.forget);
-    bench.cell.tell_wall_clock(10_100);
+    bench.cell.set_wall_clock(10_100);
     bench.pass(10);
     if forget == Some(0) {
         bench.hear_of(worker, Vec::new(), ends());
@@ -189,7 +189,7 @@
     for _ in 0..100 {
         bench
             .cell
-            .look_failed(first, LookFailure::Unanswered, bench.now);
+            .look_failed(first, PollFailure::Unanswered, bench.now);
         bench.hear_of(other, Vec::new(), Vec::new());
         bench.pass(90);
     }
@@ -200,7 +200,7 @@
     // Arrange: a full list of ends.
     let mut bench = owner_with_unread_jobs();
     let worker = bench.worker(0);
-    let most = tuning::MOST_ENDS_LISTED as u64;
+    let most = tuning::MAX_ENDS_LISTED as u64;
     let full = (1..=most).map(|place| end(place, UNREAD, place, EndKind::Done, ""));
     bench.hear_of(worker, Vec::new(), full.collect());
 
@@ -281,7 +281,7 @@
     let mut bench = Bench::with(cell, 1_000);
     let (first, other) = (bench.worker(0), bench.worker(1));
     bench.now += 10;
-    let answer = Look {
+    let answer = PollReport {
         born: None,
         clock: bench.now,
         running: vec![listed_run(KNOWN, 5)],
@@ -290,7 +290,7 @@
     bench.hear(first, &answer);
     bench
         .cell
-        .look_failed(first, LookFailure::Unanswered, bench.now);
+        .look_failed(first, PollFailure::Unanswered, bench.now);
     let until = bench.now + silence;
     let mut again = 0;
     while bench.now < until {
--- a/tests/random_world/checks.rs
+++ b/tests/random_world/checks.rs
@@ -5,7 +5,7 @@
 use crate::lives::Alive;
 use crossweir::cell::job::JobState;
 use crossweir::cell::name::TaskName;
-use crossweir::cell::order::{EndEntry, EndKind, LookOrder, StartOrder};
+use crossweir::cell::order::{EndEntry, EndKind, PollOrder, StartOrder};
 use crossweir::cell::tuning;
 use crossweir::clock::Millis;
 use crossweir::embedded::worker::RunRecord;
@@ -46,7 +46,7 @@
         let held = held_by(&self.rows, of_team);
         let followed_at = |place: usize| self.caps.get(place + 1).map(|(at, _)| *at);
         let mut in_force = self.caps.iter().enumerate().filter(|(place, _)| {
-            followed_at(*place).is_none_or(|at| at + tuning::START_VALID + WAY >= self.now)
+            followed_at(*place).is_none_or(|at| at + tuning::START_VALIDITY + WAY >= self.now)
         });
         let admits = |list: &[Workspace]| {
             let described = list.iter().find(|other| other.name == team.name);
@@ -63,7 +63,7 @@
     }
 
     /// What the worker forgets by this look counts as known to the owner for good.
-    pub(super) fn note_forgotten(&mut self, order: &LookOrder) {
+    pub(super) fn note_forgotten(&mut self, order: &PollOrder) {
         let listed = self.listed.get(&order.to.life.id).into_iter().flatten();
         for end in listed.filter(|end| end.place <= order.forget && end.how == EndKind::Done) {
             self.noted.entry(end.task).or_insert(self.now);
@@ -74,7 +74,7 @@
     }
 
     /// What a worker forgets counts as known to the owner, also if that has never read it.
-    pub(super) fn note_unread(&mut self, order: &LookOrder) {
+    pub(super) fn note_unread(&mut self, order: &PollOrder) {
         let Some(worker) = self.workers.get_mut(&order.to.life.id) else {
             return;
         };
@@ -183,7 +183,7 @@
             if let Some(noted) = self.noted.get(&task) {
                 let last = of_task[of_task.len() - 1].0;
                 assert!(
-                    last <= noted + tuning::START_VALID,
+                    last <= noted + tuning::START_VALIDITY,
                     "{task} ran again after its end was noted at {noted}: {of_task:?}"
                 );
             }
--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -24,9 +24,9 @@
 use crossweir::cell::life::Life;
 use crossweir::cell::name::TaskName;
 use crossweir::cell::order::{
-    EndEntry, Look, LookFailure, LookOrder, StartOrder, StartOutcome, StopOrder,
+    EndEntry, PollFailure, PollOrder, PollReport, StartOrder, StartOutcome, StopOrder,
 };
-use crossweir::cell::record::{JobRow, Progress};
+use crossweir::cell::record::{JobProgress, JobRow};
 use crossweir::cell::roster::{RosterChange, RosterEntry};
 use crossweir::cell::spec::{Demand, JobId};
 use crossweir::cell::worker::WorkerEntry;
@@ -49,7 +49,7 @@
 const MOST_LATE: Millis = 12_000;
 /// The most that a call or its answer takes on its way, unless it is lost.
 const WAY: Millis = 120;
-/// The most that a look is held at a worker, as `tuning::LOOK_WAIT`.
+/// The most that a look is held at a worker, as `tuning::POLL_WAIT`.
 const HELD: Millis = 600;
 /// How long the owner waits for the answer to a start or stop, as the adapter does.
 const ORDER_TIMEOUT: Millis = 250;
@@ -105,8 +105,8 @@
     StartAnswer(RunKey, StartOutcome, Option<Millis>),
     Stop(StopOrder),
     StopAnswer(WorkerKey, RunKey),
-    Look(LookOrder),
-    LookAnswer(LookOrder, Result<Look, LookFailure>),
+    Look(PollOrder),
+    LookAnswer(PollOrder, Result<PollReport, PollFailure>),
 }
 
 /// A message on its way.
@@ -165,7 +165,7 @@
     /// Calls and answers that take their time.
     messages: Vec<Message>,
     rows: BTreeMap<u64, JobRow>,
-    progress: BTreeMap<JobId, Progress>,
+    progress: BTreeMap<JobId, JobProgress>,
     roster: Vec<RosterEntry>,
     cancelled: BTreeSet<JobId>,
     owner: Owner,
@@ -413,7 +413,7 @@
             }
             self.unread.push(number);
             if let Some(progress) = progress {
-                cell.remember(row.id, progress.clone());
+                cell.add_unread_job_progress(row.id, progress.clone());
             }
         }
         cell.set_incomplete(!self.unread.is_empty());
@@ -552,7 +552,7 @@
             self.read_the_rest();
         }
         // Without confirmation an owner orders nothing after its window.
-        if self.now - self.owner.confirmed < tuning::OWNER_WINDOW {
+        if self.now - self.owner.confirmed < tuning::OWNER_STOP_TIME {
             self.look();
             self.deliver();
             self.decide();
@@ -604,7 +604,7 @@
             let losses = progress.tasks.iter().flat_map(|task| &task.losses);
             self.recorded_runs.extend(losses.map(|loss| loss.run));
         }
-        cell.recorded(batch, self.now);
+        cell.batch_recorded(batch, self.now);
         if !written.is_empty() {
             self.note(format!("recorded: {}", written.join(" ")));
             self.reaches(Moment::Record);
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -6,7 +6,8 @@
 };
 use crate::lives::Alive;
 use crossweir::cell::order::{
-    AdviceOrder, Look, LookFailure, LookOrder, Order, Refusal, StartOrder, StartOutcome, StopOrder,
+    AdviceOrder, Order, PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome,
+    StopOrder,
 };
 use crossweir::cell::{RunKey, WorkerKey};
 use crossweir::clock::Millis;
@@ -131,7 +132,7 @@
         self.send(at, Way::Look(order));
     }
 
-    pub(super) fn look_arrives(&mut self, epoch: u64, order: LookOrder) {
+    pub(super) fn look_arrives(&mut self, epoch: u64, order: PollOrder) {
         let lost_before = self.chance(4) || self.is_cut(&order.to.life.id);
         let lost_before = lost_before || self.is_lost_with_its_life(&order);
         let lost_after = self.chance(4);
@@ -143,17 +144,17 @@
             }
         }
         let mut answer = match self.workers.get_mut(&order.to.life.id) {
-            _ if lost_before => Err(LookFailure::Unanswered),
+            _ if lost_before => Err(PollFailure::Unanswered),
             Some(worker) => worker.look(&order, self.now),
-            None if is_down => Err(LookFailure::Refused(Refusal::NotSent)),
-            None => Err(LookFailure::Refused(Refusal::Gone)),
+            None if is_down => Err(PollFailure::Refused(Refusal::NotSent)),
+            None => Err(PollFailure::Refused(Refusal::Gone)),
         };
         if let Ok(look) = &answer {
             self.listed
                 .insert(order.to.life.id.clone(), look.ended.clone());
         }
         if lost_after && answer.is_ok() {
-            answer = Err(LookFailure::Unanswered);
+            answer = Err(PollFailure::Unanswered);
         }
         let held = match order.wait {
             wait if self.keeps_ids && wait > 0 && self.chance(10) => self.rng.random_range(0..HELD),
@@ -167,12 +168,16 @@
     /// A look that was on its way when the life ended ends with its connection.  One that the next
     /// life would carry out could make it forget a run that began and ended meanwhile, which
     /// nobody can know of (docs/FINDINGS.md, "Lives").
-    pub(super) fn is_lost_with_its_life(&self, order: &LookOrder) -> bool {
+    pub(super) fn is_lost_with_its_life(&self, order: &PollOrder) -> bool {
         let began = self.workers.get(&order.to.life.id).map(Alive::began);
         self.keeps_ids && began.is_some_and(|began| order.sent <= began)
     }
 
-    pub(super) fn look_answered(&mut self, order: &LookOrder, answer: Result<Look, LookFailure>) {
+    pub(super) fn look_answered(
+        &mut self,
+        order: &PollOrder,
+        answer: Result<PollReport, PollFailure>,
+    ) {
         let cell = &mut self.owner.cell;
         if answer.is_ok() {
             self.untold.retain(|(epoch, _), start| {
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -11,9 +11,9 @@
 use cell_core::{job, queue, step, worker};
 use crossweir::cell::job::JobState;
 use crossweir::cell::order::{
-    Look, LookFailure, LookOrder, Refusal, StartOrder, StartOutcome, StopOrder,
+    PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome, StopOrder,
 };
-use crossweir::cell::record::Progress;
+use crossweir::cell::record::JobProgress;
 use crossweir::clock::{Clock, Millis};
 use crossweir::embedded::PlainDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
@@ -55,7 +55,7 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>> {
+    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         self.orders.lock().expect("orders").looks += 1;
         self.inner.look(order)
     }
@@ -118,7 +118,7 @@
 
 /// The store holds what was recorded of many jobs.
 fn keep_ends(node: &VirtualNode) {
-    let progress = Progress {
+    let progress = JobProgress {
         state: JobState::Succeeded,
         tasks: Vec::new(),
         careful: false,
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -145,7 +145,7 @@
     // Arrange: a job that was handed in long ago, and whose time has just come, has no more right than one that
     // has just been handed in.
     let mut bench = full_worker(Turn::LeastLaxity);
-    bench.cell.tell_wall_clock(1_000_000);
+    bench.cell.set_wall_clock(1_000_000);
     let mut timed = report(2, 1, 1_000);
     timed.spec.schedule = Some(Schedule {
         times: 1,
@@ -156,7 +156,7 @@
     bench.now += 59_000;
     bench.accept(&report(3, 1, 1_000));
     bench.now += 1_000;
-    bench.cell.tell_wall_clock(1_060_000);
+    bench.cell.set_wall_clock(1_060_000);
     bench.cell.tick(bench.now);
 
     // Act, assert
--- a/tests/unread_jobs.rs
+++ b/tests/unread_jobs.rs
@@ -23,7 +23,7 @@
 
 use cell_core::{Bench, job, listed_end, listed_run, queue, starts, step};
 use crossweir::cell::name::TaskName;
-use crossweir::cell::order::{EndEntry, EndKind, LookFailure, RunningEntry};
+use crossweir::cell::order::{EndEntry, EndKind, PollFailure, RunningEntry};
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::tuning;
 
@@ -152,7 +152,7 @@
     // Act.
     bench
         .cell
-        .look_failed(worker, LookFailure::Unanswered, bench.now);
+        .look_failed(worker, PollFailure::Unanswered, bench.now);
     bench.pass(tuning::NAME_JOBS_AFTER + 10);
     let before = entry(&bench);
     bench.record();
@@ -191,7 +191,7 @@
     look(&mut bench, vec![listed_run(KNOWN, 6)], Vec::new());
 
     // Act: it is in neither list, but there may be more ends than are listed.
-    let full = (1..=tuning::MOST_ENDS_LISTED as u64).map(|place| done(place, UNREAD, place));
+    let full = (1..=tuning::MAX_ENDS_LISTED as u64).map(|place| done(place, UNREAD, place));
     let full: Vec<EndEntry> = full.collect();
     look(&mut bench, Vec::new(), full);
     let started = starts(&bench.decide());
@@ -210,7 +210,7 @@
     let silent = bench.worker(0);
     bench
         .cell
-        .look_failed(silent, LookFailure::Unanswered, bench.now);
+        .look_failed(silent, PollFailure::Unanswered, bench.now);
 
     // Act.
     let other = bench.worker(1);
--- a/tests/virtual_node/mod.rs
+++ b/tests/virtual_node/mod.rs
@@ -6,7 +6,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use crossweir::cell::order::{Look, LookFailure, LookOrder, StartOrder, StartOutcome, StopOrder};
+use crossweir::cell::order::{
+    PollFailure, PollOrder, PollReport, StartOrder, StartOutcome, StopOrder,
+};
 use crossweir::cell::worker::WorkerEntry;
 use crossweir::clock::{Clock, Millis};
 use crossweir::embedded::store::MemoryStore;
@@ -172,8 +174,8 @@
         async { Err(None) }.boxed()
     }
 
-    fn look<'a>(&'a self, _: &'a LookOrder) -> BoxFuture<'a, Result<Look, LookFailure>> {
-        async { Err(LookFailure::Unanswered) }.boxed()
+    fn look<'a>(&'a self, _: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+        async { Err(PollFailure::Unanswered) }.boxed()
     }
 }
 
