--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -1,32 +1,32 @@
-//! Who owns the cell, as far as a node knows.
+//! A node's view of who owns the cell, and when it suspects that the owner is lost.
 
 use std::net::SocketAddr;
 
 use crate::clock::Millis;
 use crate::rpc::node::Beat;
 
-/// Beyond the heartbeats that it may miss, an owner is given so long: urgent jobs have 0.9 s to
-/// spare, and a takeover takes some 150 ms more.
+/// Time granted to an owner on top of the heartbeats that may be missed, in milliseconds.  Urgent
+/// jobs have 0.9 s to spare, and a takeover takes some 150 ms after the owner is suspected.
 const SUSPECT_MARGIN: Millis = 100;
-/// So many heartbeats may be missed before the owner is suspected.
+/// How many heartbeats in a row may be missed before the owner is suspected.
 const TOLERATED_MISSES: Millis = 3;
-/// How often the owner is heard by nodes that it has not told otherwise.
+/// Interval of the owner's heartbeats to a node that was not told another one, in milliseconds.
 pub const HEARTBEAT_INTERVAL: Millis = 100;
 
-/// Who owns the cell, as far as this node knows.
+/// What this node knows of the owner of the cell.
 #[derive(Debug, Clone)]
 pub struct Owner {
-    /// The highest epoch heard of.
+    /// The highest epoch that this node has learnt of.
     pub epoch: u64,
-    /// Where its owner answers; none while there is no known owner.
+    /// The address of the owner of that epoch; none while no owner is known.
     pub address: Option<SocketAddr>,
-    /// When it was last heard itself; none if it never was.
+    /// When the owner's last heartbeat was received; none if there was none.
     pub heard: Option<Millis>,
-    /// Since when a node that has just claimed the cell is given time to load it.
+    /// When a node was last known to be claiming or loading the cell; it gets time to finish.
     pub claim_seen: Option<Millis>,
-    /// Jobs of which nothing has begun by queue, as it last said.
+    /// The number of jobs of which no task has started, by queue, as the owner last reported it.
     pub pending: Vec<(String, u32)>,
-    /// How often it tells of itself here, in milliseconds.
+    /// The interval of the owner's heartbeats to this node, in milliseconds.
     interval: Millis,
 }
 
@@ -44,50 +44,56 @@
 }
 
 impl Owner {
-    /// Tells whether the owner has been silent for so long that another may be needed.
+    /// Tells whether neither the owner nor a claimant has been active for so long that this node
+    /// may have to claim the cell.
     pub fn is_suspect(&self, now: Millis) -> bool {
         self.inactivity(now) > suspicion_timeout(self.interval)
     }
 
-    /// Tells whether the owner itself has been silent for so long, whoever else claims the cell.
+    /// Tells whether the owner itself has been silent for that long, whether or not another node
+    /// is claiming the cell.
     pub fn is_silent(&self, now: Millis) -> bool {
         self.silence(now) > suspicion_timeout(self.interval)
     }
 
-    /// The owner tells of itself this often here; zero if it did not say.
+    /// Sets the interval in milliseconds at which the owner says it sends heartbeats to this node;
+    /// zero if it does not say.
     pub fn set_interval(&mut self, interval: u32) {
         self.interval = Millis::from(interval).max(HEARTBEAT_INTERVAL);
     }
 
-    /// How long the owner has been silent; for ever if there is nobody to wait for.
+    /// Time since the owner was heard or a claim was seen, in milliseconds; the maximum if there
+    /// was neither.
     fn inactivity(&self, now: Millis) -> Millis {
         elapsed(self.heard.max(self.claim_seen), now)
     }
 
-    /// How long ago the owner itself was heard; for ever if it never was.
+    /// Time since the owner's last heartbeat, in milliseconds; the maximum if there was none.
     pub fn silence(&self, now: Millis) -> Millis {
         elapsed(self.heard, now)
     }
 
-    /// Tells whether the owner says by this heartbeat that it does not own the cell any more.
+    /// Tells whether this heartbeat comes from the known owner and says that it no longer owns the
+    /// cell.
     pub fn is_released_by(&self, beat: &Beat) -> bool {
         let is_owner = self
             .address
             .is_some_and(|own| own.to_string() == beat.address);
-        // One that has claimed the cell and still loads it was not heard as its owner.
+        // A claimant that is still loading the cell does not say that it owns it either, but has
+        // not been heard as the owner yet.
         let retired = self.heard.is_some() && beat.epoch == self.epoch && !beat.owns;
         is_owner && (beat.leaving || retired)
     }
 
-    /// The owner has given the cell up, or has started again; a node that claims the cell is
-    /// waited for all the same.
+    /// Forgets the owner, which has given the cell up or has restarted.  The time granted to a node
+    /// that is claiming the cell goes on.
     pub fn release(&mut self) {
         let claim = self.claim_seen;
         self.clear();
         self.claim_seen = claim;
     }
 
-    /// There is nobody to wait for.
+    /// Forgets the owner and any claim, so that the cell counts as vacant at once.
     pub fn clear(&mut self) {
         self.address = None;
         self.heard = None;
@@ -95,7 +101,7 @@
         self.interval = HEARTBEAT_INTERVAL;
     }
 
-    /// Somebody has claimed the cell under `epoch` and needs time to load it.
+    /// Notes that a node has claimed the cell under `epoch` and needs time to load it.
     pub fn await_claimant(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
         self.epoch = epoch;
         self.address = address;
@@ -104,19 +110,19 @@
         self.interval = HEARTBEAT_INTERVAL;
     }
 
-    /// How long ago a node that is claiming the cell was heard; none if that was too long ago, or
-    /// if an owner was heard since.
+    /// Time since a claim was last seen, in milliseconds; none if that is too long ago to wait for
+    /// it, or if an owner was heard since.
     pub fn claim_age(&self, now: Millis) -> Option<u32> {
         let age = now.saturating_sub(self.claim_seen?);
         (age <= suspicion_timeout(HEARTBEAT_INTERVAL)).then_some(age as u32)
     }
 
-    /// A node that is claiming the cell, or loading it, was heard at `heard`: it is given time.
+    /// Notes that a node was claiming or loading the cell at `heard`, and gives it time.
     pub fn note_claim(&mut self, heard: Millis) {
         self.claim_seen = self.claim_seen.max(Some(heard));
     }
 
-    /// The owner under `epoch` was heard.
+    /// Notes a heartbeat of the owner under `epoch`.
     pub fn note_heartbeat(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
         self.epoch = epoch;
         self.address = address;
@@ -125,7 +131,7 @@
     }
 }
 
-/// How long a node that tells of itself every `interval` may be silent before it is suspected.
+/// How long a node with this heartbeat interval may be silent before it is suspected.
 fn suspicion_timeout(interval: Millis) -> Millis {
     TOLERATED_MISSES * interval + SUSPECT_MARGIN
 }
--- a/src/node/owner_calls.rs
+++ b/src/node/owner_calls.rs
@@ -1,4 +1,5 @@
-//! Calls that only the owner of the cell can answer, from whichever node they come.
+//! Calls that only the owner of the cell can answer: served here if this node is the owner,
+//! forwarded to the owner otherwise.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,12 +9,14 @@
 use crate::node::shared::Shared;
 use crate::rpc::node::{NodeCall, NodeReply, Question};
 
-/// How long the owner may take to take in a job or to tell its state.
+/// Time limit for the owner to accept a job or to report its state, in milliseconds.
 pub const OWNER_TIMEOUT: Millis = 600;
-/// How often telling the owner of a job is tried; it finds the row by itself as well.
+/// How many times a node tries to notify the owner of a new job.  After that the owner finds the
+/// job's row by polling the store.
 const NOTIFY_ATTEMPTS: u32 = 3;
 
-/// Answers a call that only the owner can answer.
+/// Answers a call as the owner; [`NodeReply::NotOwner`] if this node does not own the cell, or if
+/// the call is not one for the owner.
 pub async fn serve_as_owner(shared: &Arc<Shared>, call: NodeCall) -> NodeReply {
     let Some(engine) = shared.engine() else {
         return NodeReply::NotOwner;
@@ -25,7 +28,7 @@
                 NodeReply::Taken
             }
             Err(err) => {
-                tracing::error!(%err, "a job from another node cannot be read");
+                tracing::error!(%err, "cannot decode a job from another node");
                 NodeReply::Unavailable
             }
         },
@@ -42,7 +45,7 @@
             match engine.view(id).map(|view| serde_json::to_vec(&view)) {
                 Some(Ok(view)) => NodeReply::Explained(view),
                 Some(Err(err)) => {
-                    tracing::error!(%err, request = %id, "a view cannot be encoded");
+                    tracing::error!(%err, request = %id, "cannot encode the view of a job");
                     NodeReply::Unavailable
                 }
                 None => NodeReply::UnknownJob,
@@ -53,7 +56,8 @@
     }
 }
 
-/// Asks the owner, wherever it is; none if it cannot be asked or gave no answer.
+/// Passes a call to the owner, which may be this node.  Returns none if no owner is known, or if it
+/// did not answer within `timeout` milliseconds or could not serve the call.
 pub async fn ask_owner(shared: &Arc<Shared>, call: NodeCall, timeout: Millis) -> Option<NodeReply> {
     if shared.engine().is_some() {
         return Some(serve_as_owner(shared, call).await);
@@ -70,7 +74,7 @@
     }
 }
 
-/// Tells the owner of a job, so that it need not find the row by itself.
+/// Notifies the owner of a new job, so that it need not wait until it polls the job's row.
 pub async fn notify_owner(shared: Arc<Shared>, row: JobRow) {
     let Ok(body) = serde_json::to_vec(&row) else {
         return;
@@ -82,5 +86,8 @@
         }
         tokio::time::sleep(Duration::from_millis(OWNER_TIMEOUT / 2)).await;
     }
-    tracing::info!(request = %row.id, "the owner was not told; it finds the row");
+    tracing::info!(
+        request = %row.id,
+        "owner not notified of the job; it will find the row in the store"
+    );
 }
