--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -1,8 +1,9 @@
-//! Finding out who owns the cell, and claiming it when its owner is gone.
+//! Finds out who owns the cell, and claims it when its owner is lost.
 //!
-//! The owner tells of itself some times a second.  When it is silent, the others
-//! compare what they heard; the first of those that reach the store claims the
-//! row of ownership at its version, so only one claim of several succeeds.
+//! The owner sends heartbeats several times a second.  When it is silent, the other nodes ask one
+//! another whether anyone still hears it.  If not, the first candidate that reaches the store
+//! claims the cell: it rewrites the ownership row, expecting the version that it has read, so only
+//! one of several claims succeeds.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -24,54 +25,56 @@
 use crate::rpc::node::{Beat, NodeCall, NodeReply};
 use crate::store::{self, RowKey, StoreCall, StoreError, StoreReply, Table, Transaction, Version};
 
-/// How long the others' word on a silent owner is awaited: they are 3 ms away, and
-/// whoever does not answer has no say.
+/// Time limit for other nodes to report whether they hear a silent owner, in milliseconds.  They
+/// are 3 ms away; nodes that do not answer are not counted.
 const POLL_TIMEOUT: Millis = 80;
-/// How often the others look whether the owner is silent.
-const LOOK: Duration = Duration::from_millis(50);
-/// A node that heard the owner within this time speaks for it.
-const VOUCH: Millis = 300;
-/// A later candidate waits so long for each one before it: a claim takes 15 ms.
-const RANK_PAUSE: Duration = Duration::from_millis(60);
-/// What owning a cell of several hundred workers takes at its peak, in thousandths of a
-/// core: 350 workers take 200 on an ordinary day.
+/// How often a node checks whether the owner is silent.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A node that heard the owner within this time, in milliseconds, vouches for it.
+const VOUCH_WINDOW: Millis = 300;
+/// How long a candidate waits for each one that goes before it: a claim takes 15 ms.
+const RANK_DELAY: Duration = Duration::from_millis(60);
+/// The CPU time that owning a cell of several hundred workers takes at its peak, in thousandths of
+/// a core: 350 workers take 200 under ordinary load.
 const OWNER_MILLICORES: u32 = 250;
-/// A node with less claims the cell later, by at most this: all nodes of a site start
-/// within 300 ms, and those that start first do not know yet who else there is.
-const WEAK_PAUSE: Millis = 500;
-/// An owner gives the cell up to a node that has so many times its strength.
-const STRONGER: u32 = 2;
-/// It does so only if it has owned the cell for so long, since each change of owners stops
-/// decisions for some 150 ms.
-const LEAST_TERM: Millis = 3_000;
-/// How long giving the cell up to a stronger node may take: one transaction.
+/// The longest time, in milliseconds, by which a node with less CPU time to spend than that delays its
+/// claim.  All nodes of a site start within 300 ms, and those that start first do not know the
+/// others yet.
+const MAX_WEAKNESS_DELAY: Millis = 500;
+/// An owner gives the cell up to a node that has at least this many times its strength.
+const STRENGTH_RATIO: u32 = 2;
+/// An owner gives the cell up to a stronger node only after it has owned the cell for this long, in
+/// milliseconds, since each change of owners stops scheduling for some 150 ms.
+const MIN_TERM: Millis = 3_000;
+/// Time limit for giving the cell up to a stronger node, which takes one transaction.
 const YIELD_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long the cell is kept while the store cannot be told that it is given up:
-/// nobody else can claim it meanwhile, and the process must end within 6 s.
+/// How long a process that shuts down keeps the cell while the release cannot be written to the
+/// store.  No other node can claim the cell meanwhile, and the process must end within 6 s.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// So often a claim is written again if the former owner has written the row meanwhile: it
-/// has at most two transactions on their way, one of them through another node.
-const CLAIM_TRIES: usize = 3;
-/// How often the row of ownership is read while the answer to a claim is awaited: one comes
-/// after 4 ms, or after 0.5 s from a store that is 77 times slower.
-const CLAIM_LOOK: Duration = Duration::from_millis(200);
-/// How often a node that claims the cell tells of it.
-const TELL: Duration = Duration::from_millis(owner::HEARTBEAT_INTERVAL);
-/// A claim that takes longer has come to nothing: others try as well.
-const CLAIM_LIMIT: Millis = 2_500;
-/// So many samples are asked one after the other while none of them answers: the nodes that
-/// watch the owner may all be lost with it.
-const MOST_SAMPLES: usize = 4;
-/// Nodes that do not watch the owner closely claim the cell at different times within this
-/// one, so that not all of them write a claim at once.
-const OTHERS_SPREAD: Millis = 400;
-/// How often a node writes where it is, until that succeeded.
+/// How many times a claim is written if the former owner has written the ownership row meanwhile.
+/// At most two of its transactions are in flight, one of them through another node.
+const CLAIM_ATTEMPTS: usize = 3;
+/// How often the ownership row is read while the answer to a claim is awaited.  The answer takes
+/// 4 ms, or 0.5 s from a store that is 77 times slower.
+const CLAIM_POLL: Duration = Duration::from_millis(200);
+/// How often a node announces that it is claiming the cell.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(owner::HEARTBEAT_INTERVAL);
+/// A claim is announced for at most this long, in milliseconds: one that takes longer has failed,
+/// and other nodes should try as well.
+const ANNOUNCE_LIMIT: Millis = 2_500;
+/// How many groups of nodes are asked about the owner, one after the other, while none answers: all
+/// watchers may be lost together with the owner.
+const MAX_SAMPLES: usize = 4;
+/// Nodes that are not watchers delay their claims by different times below this one, in
+/// milliseconds, so that they do not all write a claim at once.
+const NON_WATCHER_SPREAD: Millis = 400;
+/// How often a node tries to write its own row, until that succeeds.
 const REGISTER_RETRY: Duration = Duration::from_millis(300);
 
-/// Writes to the store where this node is, and reads where the others are.
+/// Writes the row of this node to the store, and reads those of the other nodes.
 ///
-/// A node that starts again where it was writes nothing: one partition takes few transactions, and
-/// after the loss of all nodes they would all wait for one another's.
+/// A node that restarts with the same address and capacity writes nothing.  One partition accepts
+/// few transactions at a time, so after the loss of all nodes their writes would delay one another.
 pub async fn register(shared: Arc<Shared>) {
     let own = store::encode(&shared.row());
     let key = RowKey::new(Table::Nodes, NODES_PARTITION, &shared.name);
@@ -88,10 +91,10 @@
         }
         tokio::time::sleep(REGISTER_RETRY).await;
     }
-    greet(&shared).await;
+    announce(&shared).await;
 }
 
-/// Tells whether the store has this row of ours already.
+/// Tells whether the row of this node is in the store already, with the value `own`.
 async fn is_registered(shared: &Arc<Shared>, own: &str) -> bool {
     let call = StoreCall::row(Table::Nodes, NODES_PARTITION, &shared.name);
     match shared.store(call).await {
@@ -100,12 +103,12 @@
     }
 }
 
-/// Reads from the store where other nodes are; false if it does not answer.
+/// Reads the rows of the other nodes from the store; false if that fails.
 async fn list_nodes(shared: &Arc<Shared>) -> bool {
     let rows = match loading::list(shared, Table::Nodes, NODES_PARTITION).await {
         Ok((rows, _)) => rows,
         Err(err) => {
-            tracing::info!(%err, "nodes cannot be listed");
+            tracing::info!(%err, "cannot list nodes");
             return false;
         }
     };
@@ -115,25 +118,27 @@
             Ok(node) => shared
                 .members()
                 .add(&row.key, node, Source::Authoritative, now),
-            Err(err) => tracing::warn!(%err, name = row.key, "a node's row cannot be read"),
+            Err(err) => tracing::warn!(%err, name = row.key, "cannot parse the row of a node"),
         }
     }
-    // One line for all of them: 147 nodes that start at once would write 21,000.
+    // One log line for all nodes: with a line for each, 147 nodes that start at once would write
+    // 21,000.
     let nodes = shared.members().iter().count() + 1;
     tracing::info!(rows = rows.len(), nodes, "nodes listed");
     true
 }
 
-/// Tells the owner's heartbeats, or watches for them, until the process ends.
+/// Sends the owner's heartbeats, or watches for them and claims the cell when they stop, until the
+/// process ends.
 pub async fn run(shared: Arc<Shared>) {
-    // Seeds may be dark; nothing waits for them.
-    tokio::spawn(greet_seeds(Arc::clone(&shared)));
+    // Seeds may be unreachable, so this does not wait for their answers.
+    tokio::spawn(announce_to_seeds(Arc::clone(&shared)));
     loop {
         if shared.engine().is_some() {
             heartbeat::run(&shared).await;
             continue;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let suspect = shared.owner().is_suspect(shared.now());
         if !shared.leaving() && suspect {
             consider_claim(&shared).await;
@@ -141,22 +146,22 @@
     }
 }
 
-async fn greet_seeds(shared: Arc<Shared>) {
+async fn announce_to_seeds(shared: Arc<Shared>) {
     let own = shared.address;
     let seeds = shared.seeds.iter().copied().filter(|seed| *seed != own);
-    let beats = ask(&shared, seeds.collect(), BEAT_TIMEOUT).await;
+    let beats = exchange_all(&shared, seeds.collect(), BEAT_TIMEOUT).await;
     find_owner(&shared, &beats).await;
 }
 
-/// Tells a node's presence to the owner, and to those that may own the cell next: the owner
-/// tells everybody else.
-async fn greet(shared: &Arc<Shared>) {
+/// Announces this node to those that may own the cell next, and to the owner if they know it.  The
+/// owner then informs all other nodes.
+async fn announce(shared: &Arc<Shared>) {
     let watchers = shared.members().first_candidates();
-    let beats = ask(shared, watchers, BEAT_TIMEOUT).await;
+    let beats = exchange_all(shared, watchers, BEAT_TIMEOUT).await;
     find_owner(shared, &beats).await;
 }
 
-/// Greets the owner that others know and we have not heard.
+/// Exchanges heartbeats with the owner that other nodes report, if this node has not heard it.
 async fn find_owner(shared: &Arc<Shared>, beats: &[Beat]) {
     let epoch = {
         let owner = shared.owner();
@@ -177,7 +182,8 @@
     }
 }
 
-/// Exchanges heartbeats with one node.
+/// Exchanges heartbeats with one node.  Returns its heartbeat, or none if it did not answer within
+/// `timeout` milliseconds.
 pub(super) async fn exchange(
     shared: &Arc<Shared>,
     address: SocketAddr,
@@ -196,8 +202,12 @@
     }
 }
 
-/// Exchanges heartbeats with these nodes.
-async fn ask(shared: &Arc<Shared>, addresses: Vec<SocketAddr>, timeout: Millis) -> Vec<Beat> {
+/// Exchanges heartbeats with these nodes, and returns those of the nodes that answered.
+async fn exchange_all(
+    shared: &Arc<Shared>,
+    addresses: Vec<SocketAddr>,
+    timeout: Millis,
+) -> Vec<Beat> {
     let beat = shared.beat();
     let exchanges = addresses
         .into_iter()
@@ -205,41 +215,43 @@
     join_all(exchanges).await.into_iter().flatten().collect()
 }
 
-/// What an owner looks at some times a second beside its heartbeats.
+/// Checks that the owner performs several times a second beside its heartbeats: updates which nodes
+/// can pass on calls to the advice service, and gives the cell up if another node is far stronger.
 pub(super) async fn review_ownership(shared: &Arc<Shared>) {
     let Some(engine) = shared.engine() else {
         return;
     };
     engine.set_lanes();
-    if is_outdone(shared, &engine, shared.now()) {
+    if is_stronger_node_available(shared, &engine, shared.now()) {
         shared.metrics.event("cell_yielded");
         give_up(shared, YIELD_TIMEOUT, "another node is stronger").await;
     }
 }
 
-/// Tells whether another node that could claim the cell is far stronger than we are.
-fn is_outdone(shared: &Shared, engine: &Engine, now: Millis) -> bool {
+/// Tells whether another node that could claim the cell is far stronger than this one.
+fn is_stronger_node_available(shared: &Shared, engine: &Engine, now: Millis) -> bool {
     let may_be_released = shared.reaches_store() && !shared.store_is_slow();
-    if now.saturating_sub(engine.since) < LEAST_TERM || !may_be_released {
+    if now.saturating_sub(engine.since) < MIN_TERM || !may_be_released {
         return false;
     }
-    let enough = STRONGER * shared.load.strength().max(1);
+    let enough = STRENGTH_RATIO * shared.load.strength().max(1);
     shared
         .members()
         .iter()
         .filter(|(_, m)| m.reaches_store && !m.leaving)
-        .filter(|(_, m)| now.saturating_sub(m.heard) < VOUCH)
+        .filter(|(_, m)| now.saturating_sub(m.heard) < VOUCH_WINDOW)
         .any(|(_, m)| m.strength >= enough)
 }
 
-/// The owner is silent: claims the cell if most say so and nobody goes before us.
+/// Claims the cell of a silent owner, unless at least half of the nodes that answer vouch for it or
+/// a candidate of better rank claims it first.
 ///
-/// Weak nodes wait before they even ask, so a cell with strong ones has an owner again
-/// without their calls; whoever asks, asks a bounded number of nodes.
+/// Weak nodes wait before they even ask, so that a cell with strong nodes has an owner again
+/// without their calls.  A node that asks calls a bounded number of others.
 async fn consider_claim(shared: &Arc<Shared>) {
     let suspected = shared.owner().epoch;
-    let pause = weak_pause(shared.load.strength());
-    if !pause.is_zero() && !stays_vacant(shared, suspected, pause).await {
+    let delay = weakness_delay(shared.load.strength());
+    if !delay.is_zero() && !stays_vacant(shared, suspected, delay).await {
         return;
     }
     let beats = ask_candidates(shared).await;
@@ -249,33 +261,34 @@
     let epoch = shared.owner().epoch;
     let vouching = beats
         .iter()
-        .filter(|beat| beat.epoch >= epoch && beat.owner_silence < VOUCH)
+        .filter(|beat| beat.epoch >= epoch && beat.owner_silence < VOUCH_WINDOW)
         .count();
     if vouching > 0 && vouching * 2 >= beats.len() {
         find_owner(shared, &beats).await;
         return;
     }
-    let pause = RANK_PAUSE * rank_among(shared, &beats) + others_pause(shared);
-    if stays_vacant(shared, epoch, pause).await {
-        let _telling = Telling::start(shared);
+    let delay = RANK_DELAY * rank_among(shared, &beats) + non_watcher_delay(shared);
+    if stays_vacant(shared, epoch, delay).await {
+        let _announcement = ClaimAnnouncement::start(shared);
         claim(shared, suspected).await;
     }
 }
 
-/// Tells the nodes that may claim the cell as well that this one does, until it is dropped.
+/// Announces to the nodes that may claim the cell as well that this one is claiming it, until the
+/// guard is dropped.
 ///
-/// All claims wait for one another in one partition of the store.  On a store that is 77 times
-/// slower, with all strong nodes killed, 14 claims took 4.4 s, and 1,868 runs lost their leases
-/// (docs/incidents/late-claims.md).
-struct Telling {
+/// All claims are written to one partition of the store, so they delay one another.  On a store
+/// that is 77 times slower, with all strong nodes killed, 14 claims took 4.4 s, and 1,868 runs lost
+/// their leases (docs/incidents/late-claims.md).
+struct ClaimAnnouncement {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
 }
 
-impl Telling {
+impl ClaimAnnouncement {
     fn start(shared: &Arc<Shared>) -> Self {
         shared.set_claiming(true);
-        let task = tokio::spawn(tell_of_claim(Arc::clone(shared)));
+        let task = tokio::spawn(announce_claim(Arc::clone(shared)));
         Self {
             shared: Arc::clone(shared),
             task,
@@ -283,31 +296,31 @@
     }
 }
 
-impl Drop for Telling {
+impl Drop for ClaimAnnouncement {
     fn drop(&mut self) {
         self.shared.set_claiming(false);
         self.task.abort();
     }
 }
 
-async fn tell_of_claim(shared: Arc<Shared>) {
-    let until = shared.now() + CLAIM_LIMIT;
+async fn announce_claim(shared: Arc<Shared>) {
+    let until = shared.now() + ANNOUNCE_LIMIT;
     while shared.now() < until {
         let watchers = shared.members().first_candidates();
         tokio::spawn({
             let shared = Arc::clone(&shared);
-            async move { ask(&shared, watchers, POLL_TIMEOUT).await }
+            async move { exchange_all(&shared, watchers, POLL_TIMEOUT).await }
         });
-        tokio::time::sleep(TELL).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
     shared.set_claiming(false);
 }
 
-/// Asks those that watch the owner closely; if none of them answers, some others.
+/// Exchanges heartbeats with the watchers; if none of them answers, with some other nodes.
 async fn ask_candidates(shared: &Arc<Shared>) -> Vec<Beat> {
     let candidates = shared.members().candidates();
-    for sample in candidates.chunks(members::WATCHERS).take(MOST_SAMPLES) {
-        let beats = ask(shared, sample.to_vec(), POLL_TIMEOUT).await;
+    for sample in candidates.chunks(members::WATCHERS).take(MAX_SAMPLES) {
+        let beats = exchange_all(shared, sample.to_vec(), POLL_TIMEOUT).await;
         if !beats.is_empty() {
             return beats;
         }
@@ -315,20 +328,21 @@
     Vec::new()
 }
 
-/// How much later than those that watch the owner closely a node claims the cell.
-fn others_pause(shared: &Shared) -> Duration {
+/// How much later than the watchers this node claims the cell.
+fn non_watcher_delay(shared: &Shared) -> Duration {
     if shared.members().watches(&shared.name) {
         return Duration::ZERO;
     }
-    Duration::from_millis(members::name_hash(&shared.name) % OTHERS_SPREAD)
+    Duration::from_millis(members::name_hash(&shared.name) % NON_WATCHER_SPREAD)
 }
 
-/// Waits, and tells whether nobody has been heard as the owner meanwhile.  One that has come
-/// and gone leaves a vacancy of its own, in which the stronger nodes go first again.
-async fn stays_vacant(shared: &Shared, epoch: u64, pause: Duration) -> bool {
-    let mut left = pause;
+/// Waits for `delay`, and tells whether no owner was heard meanwhile.  After an owner that has come
+/// and gone meanwhile the epoch differs, and the delays start over, so that stronger nodes go first
+/// again.
+async fn stays_vacant(shared: &Shared, epoch: u64, delay: Duration) -> bool {
+    let mut left = delay;
     loop {
-        let step = left.min(LOOK);
+        let step = left.min(POLL_INTERVAL);
         tokio::time::sleep(step).await;
         left -= step;
         let now = shared.now();
@@ -342,14 +356,15 @@
     }
 }
 
-/// How much later than others a node of this strength claims the cell.
-fn weak_pause(strength: u32) -> Duration {
+/// How much later than a node of sufficient strength one of this strength claims the cell.
+fn weakness_delay(strength: u32) -> Duration {
     let missing = OWNER_MILLICORES.saturating_sub(strength);
-    Duration::from_millis(WEAK_PAUSE * u64::from(missing) / u64::from(OWNER_MILLICORES))
+    Duration::from_millis(MAX_WEAKNESS_DELAY * u64::from(missing) / u64::from(OWNER_MILLICORES))
 }
 
-/// How many candidates go before us: stronger nodes that reach the store, and equal ones
-/// of a lower name.
+/// The number of candidates that go before this node: those that reach the store and are stronger,
+/// or as strong with a lower name.  A node that does not reach the store directly waits one place
+/// longer.
 fn rank_among(shared: &Shared, beats: &[Beat]) -> u32 {
     let ours = (Reverse(shared.load.strength()), shared.name.as_str());
     let before = beats
@@ -360,16 +375,17 @@
     before + u32::from(!shared.reaches_store())
 }
 
-/// Claims the cell from its owner of the epoch `suspected`, unless somebody else just did.
+/// Claims the cell from its owner of the epoch `suspected`, unless another node has just claimed
+/// it.
 async fn claim(shared: &Arc<Shared>, suspected: u64) {
     let Some((version, former)) = read_owner(shared).await else {
-        tracing::info!("the row of ownership cannot be read");
+        tracing::info!("cannot read the ownership row");
         return;
     };
     if let Some(owner) = &former
         && owner.epoch > suspected
         && !owner.released
-        && is_to_be_expected(shared, owner, suspected).await
+        && may_claimant_be_alive(shared, owner, suspected).await
     {
         let epoch = owner.epoch;
         tracing::info!(
@@ -377,7 +393,7 @@
             owner = owner.name,
             "another node has claimed the cell"
         );
-        note_claim(shared, owner);
+        await_winner(shared, owner);
         return;
     }
     let claimed = OwnerRow {
@@ -396,9 +412,11 @@
     }
 }
 
-/// Reads the row of ownership with its version, which is zero if there is none; none if
-/// the store does not answer, or the row is there and cannot be read: a claim over it would begin
-/// again at the first epoch, which workers refuse and whose run numbers they have seen.
+/// Reads the ownership row with its version, which is zero if there is no row.
+///
+/// Returns none if the store does not answer, or if the row cannot be parsed.  A claim over such a
+/// row would start again at the first epoch, which workers refuse, and repeat run numbers that they
+/// have seen.
 async fn read_owner(shared: &Arc<Shared>) -> Option<(Version, Option<OwnerRow>)> {
     let call = StoreCall::row(Table::Cells, PARTITION, OWNER_KEY);
     let Ok(StoreReply::Rows { rows, .. }) = shared.store(call).await else {
@@ -410,12 +428,13 @@
     }
 }
 
-/// Tells whether the node that claimed the cell after the owner we know may soon be heard.
+/// Tells whether the node that claimed the cell after the known owner may still be heard as the
+/// owner.
 ///
-/// Another start of its process proves that it is over.  One that does not answer is
-/// given time, but not by a node that has just started: an owner that lives would have
-/// answered it by now, and nobody else has heard one.
-async fn is_to_be_expected(shared: &Arc<Shared>, owner: &OwnerRow, suspected: u64) -> bool {
+/// If its process has restarted since, it is not.  A node that does not answer is given time, but
+/// not by a node that has just started and knows no epoch: an owner that is alive would have
+/// answered it by now, and no other node has heard one.
+async fn may_claimant_be_alive(shared: &Arc<Shared>, owner: &OwnerRow, suspected: u64) -> bool {
     if owner.name == shared.name {
         return owner.boot == shared.boot;
     }
@@ -428,41 +447,43 @@
     }
 }
 
-/// Gives the winner of another claim some time to be heard.
-fn note_claim(shared: &Shared, row: &OwnerRow) {
+/// Gives the node that has won the cell some time to load it.
+fn await_winner(shared: &Shared, row: &OwnerRow) {
     let now = shared.now();
     let address = row.address.parse().ok();
     shared.owner().await_claimant(row.epoch, address, now);
 }
 
-/// What became of one write of a claim.
-enum Claimed {
-    /// The row is ours, at this version.
+/// The result of writing a claim once.
+enum ClaimResult {
+    /// This node owns the cell; the row has this version.
     Ours(Version),
-    /// The former owner has written the row once more, at this version: what it sent before its
-    /// end may take effect later.
-    Behind(Version),
-    /// Another node was first, or nothing is known.
+    /// The former owner has written the row once more, at this version: a transaction that it sent
+    /// before it was lost may take effect later.
+    Outdated(Version),
+    /// Another node has claimed the cell, or the result is unknown.
     Lost,
 }
 
-/// Writes a claim; returns the version of the row if it is ours now.
+/// Writes a claim; returns the version of the ownership row if this node owns the cell now.
 async fn write_claim(
     shared: &Arc<Shared>,
     claim: &OwnerRow,
     mut version: Version,
 ) -> Option<Version> {
-    for _ in 0..CLAIM_TRIES {
+    for _ in 0..CLAIM_ATTEMPTS {
         match try_claim(shared, claim, version).await {
-            Claimed::Ours(version) => return Some(version),
-            Claimed::Behind(newer) if shared.owner().is_silent(shared.now()) => version = newer,
-            Claimed::Behind(_) | Claimed::Lost => return None,
+            ClaimResult::Ours(version) => return Some(version),
+            ClaimResult::Outdated(newer) if shared.owner().is_silent(shared.now()) => {
+                version = newer
+            }
+            ClaimResult::Outdated(_) | ClaimResult::Lost => return None,
         }
     }
     None
 }
 
-async fn try_claim(shared: &Arc<Shared>, claim: &OwnerRow, version: Version) -> Claimed {
+async fn try_claim(shared: &Arc<Shared>, claim: &OwnerRow, version: Version) -> ClaimResult {
     let mut tx = Transaction::default();
     tx.expected.push((OwnerRow::key(), version));
     tx.puts.push((OwnerRow::key(), claim.write()));
@@ -473,12 +494,12 @@
     };
     tracing::info!(epoch = claim.epoch, ?reply, "answer to the claim");
     let found = match reply {
-        Ok(StoreReply::Committed(version)) => return Claimed::Ours(version),
+        Ok(StoreReply::Committed(version)) => return ClaimResult::Ours(version),
         Ok(StoreReply::Conflict(rows)) => {
             let row = rows.iter().find(|row| row.key == OWNER_KEY);
             row.and_then(|row| Some((row.version, OwnerRow::read(row)?)))
         }
-        // It may have taken effect.
+        // The claim may have taken effect.
         Err(StoreError::Unanswered) => match read_owner(shared).await {
             Some((version, Some(owner))) => Some((version, owner)),
             _ => None,
@@ -486,21 +507,22 @@
         Ok(_) | Err(_) => None,
     };
     match found {
-        Some((version, owner)) if owner == *claim => Claimed::Ours(version),
-        Some((version, owner)) if owner.epoch < claim.epoch => Claimed::Behind(version),
+        Some((version, owner)) if owner == *claim => ClaimResult::Ours(version),
+        Some((version, owner)) if owner.epoch < claim.epoch => ClaimResult::Outdated(version),
         Some((_, owner)) => {
-            note_claim(shared, &owner);
-            Claimed::Lost
+            await_winner(shared, &owner);
+            ClaimResult::Lost
         }
-        None => Claimed::Lost,
+        None => ClaimResult::Lost,
     }
 }
 
-/// Waits until the row of ownership shows a claim of this epoch, ours or another's.  The answer
-/// to a claim may be lost, and a second claim would only wait behind the first one.
+/// Waits until the ownership row shows a claim of this epoch or a higher one, by this node or
+/// another.  The answer to a claim may be lost, and a second claim would only queue behind the
+/// first one.
 async fn until_claimed(shared: &Arc<Shared>, claim: &OwnerRow) {
     loop {
-        tokio::time::sleep(CLAIM_LOOK).await;
+        tokio::time::sleep(CLAIM_POLL).await;
         if let Some((_, Some(owner))) = read_owner(shared).await
             && owner.epoch >= claim.epoch
         {
@@ -515,7 +537,7 @@
     shared
         .owner()
         .note_heartbeat(epoch, Some(shared.address), now);
-    // Nodes that started a moment ago may have told nobody but the store so far.
+    // Nodes that started a moment ago may have registered in the store only, and not be known yet.
     tokio::spawn({
         let shared = Arc::clone(shared);
         async move { list_nodes(&shared).await }
@@ -523,7 +545,7 @@
     match Engine::start(shared, epoch, version).await {
         Ok(engine) => {
             if shared.owner().epoch > epoch {
-                engine.retire("a higher epoch was heard of while loading");
+                engine.retire("a higher epoch became known while loading");
                 return;
             }
             shared.set_engine(Some(Arc::clone(&engine)));
@@ -531,22 +553,22 @@
             engine.set_lanes();
         }
         Err(err) => {
-            tracing::warn!(%err, epoch, "the cell cannot be loaded");
+            tracing::warn!(%err, epoch, "cannot load the cell");
             shared.owner().clear();
         }
     }
 }
 
-/// Gives the cell up before the process ends, so that another takes it at once.
+/// Gives the cell up before the process ends, so that another node can claim it at once.
 pub async fn hand_over(shared: &Arc<Shared>) {
-    give_up(shared, RELEASE_TIMEOUT, "the process is about to end").await;
+    give_up(shared, RELEASE_TIMEOUT, "the process is shutting down").await;
 }
 
-/// Writes within `limit` that the cell is free, if it is ours, and tells the others.
+/// Writes within `limit` that the cell is free, if this node owns it, and informs the other nodes.
 ///
-/// The engine goes on working until this is written, or the time is over.  A transaction
-/// without an answer may yet take effect, with what it was to record, so the ownership is
-/// over in any case.
+/// The engine goes on working until this is written or the time is over.  The ownership ends in
+/// either case, since a transaction without an answer may still take effect, with everything that
+/// it records.
 async fn give_up(shared: &Arc<Shared>, limit: Duration, reason: &'static str) {
     let engine = shared.engine();
     let owned = engine.is_some();
@@ -567,12 +589,12 @@
             owner.clear();
         }
     }
-    tell_of_end(shared, owned).await;
+    announce_end(shared, owned).await;
 }
 
-/// Tells all nodes that the cell is free, or, if it was not ours, those that may need to know
-/// that we are about to end.
-async fn tell_of_end(shared: &Arc<Shared>, owned: bool) {
+/// Informs all nodes that the cell is free.  If this node did not own it, informs only the owner
+/// and the nodes that may own the cell next that this node is shutting down.
+async fn announce_end(shared: &Arc<Shared>, owned: bool) {
     let addresses = if owned {
         shared.members().candidates()
     } else {
@@ -580,5 +602,5 @@
         addresses.extend(shared.owner().address);
         addresses
     };
-    ask(shared, addresses, BEAT_TIMEOUT).await;
+    exchange_all(shared, addresses, BEAT_TIMEOUT).await;
 }
