--- a/src/node/confirming.rs
+++ b/src/node/confirming.rs
@@ -1,7 +1,7 @@
-//! Making sure that an ownership still holds.
+//! Confirms regularly that this node still owns the cell.
 //!
-//! An owner gives no orders unless this was confirmed of late; a successor relies on
-//! that when it cannot reach a worker (see "Ownership" in `docs/DESIGN.md`).
+//! An owner gives no orders unless its ownership was confirmed recently; a successor relies on that
+//! when it cannot reach a worker (see "Ownership" in `docs/DESIGN.md`).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,31 +19,32 @@
 use crate::node::shared::PARTITION;
 use crate::store::{StoreCall, StoreError, StoreReply, Table};
 
-/// How often the owner looks whether it is still confirmed.
+/// How often the owner checks how long ago its ownership was confirmed.
 const CONFIRM_POLL: Duration = Duration::from_millis(250);
-/// An ownership that was confirmed within this time is not asked about again.
+/// An ownership that was confirmed within this time, in milliseconds, is not confirmed again yet.
 const CONFIRM_AFTER: Millis = 700;
-/// When the store has not answered for so long, the other nodes are asked as well: a
-/// read takes 6 ms, and whatever is lost here shortens the window of 2 s.
+/// When the store has not answered for this long, the other nodes are asked as well.  A read takes
+/// 6 ms, and time spent waiting here is taken from the 2 s for which a confirmation lasts.
 const HEDGE_AFTER: Duration = Duration::from_millis(150);
-/// A node that has answered a call no older than this that it does not reach the store need
-/// not be asked: heartbeats come to it that often, and an answer may take some time.
+/// A node that has said that it does not reach the store, in answer to a heartbeat sent within this
+/// time, need not be asked.  The time, in milliseconds, is the interval of heartbeats and the time
+/// limit of their answers.
 const RECENT_ANSWER: Millis = heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
-/// How long one read of the row of ownership may take: 400 ms from a slow store.
+/// Time limit for one read of the ownership row, in milliseconds: a slow store takes 400 ms.
 const READ_LIMIT: Millis = 700;
 
-/// What one node can tell about the row of ownership.
+/// What one node answers when it is asked for the ownership row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Word {
-    /// The row, as the store shows it; none if it cannot be understood.
+enum Response {
+    /// The row as read from the store; none if there is no row or it cannot be parsed.
     Row(Option<OwnerRow>),
-    /// The node says that it does not reach the store, so it has not claimed the cell.
+    /// The node does not reach the store, so it has not claimed the cell.
     Away,
-    /// The node has not answered.
+    /// The node has not answered, or not with a row.
     Silent,
 }
 
-/// What the words of all nodes come to.
+/// The conclusion from the responses of all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Verdict {
     Holds,
@@ -59,53 +60,55 @@
             if sent.saturating_sub(self.confirmed.load(Ordering::Relaxed)) < CONFIRM_AFTER {
                 continue;
             }
-            let words = self.gather_words(sent).await;
-            self.take_words(sent, &words);
+            let responses = self.collect_responses(sent).await;
+            self.apply_responses(sent, &responses);
         }
     }
 
-    /// Asks the store, and if it is silent or away every other node that was heard of late and
-    /// has not just said that the store is away: while it is, 146 nodes are not asked anew.
-    async fn gather_words(&self, sent: Millis) -> Vec<Word> {
-        let own = self.own_word();
+    /// Reads the ownership row from the store.  If that fails or takes long, also asks every other
+    /// node that was heard recently, except those that have just said in a heartbeat that they do
+    /// not reach the store: during an outage of the store, 146 nodes are not asked each time.
+    async fn collect_responses(&self, sent: Millis) -> Vec<Response> {
+        let own = self.read_directly();
         tokio::pin!(own);
         let early = tokio::time::timeout(HEDGE_AFTER, &mut own).await.ok();
-        if let Some(word @ Word::Row(_)) = early {
-            return vec![word];
+        if let Some(response @ Response::Row(_)) = early {
+            return vec![response];
         }
         let (away, asked) = self.witnesses(sent);
-        let others = join_all(asked.into_iter().map(|addr| self.word_of(addr)));
-        let (mut words, own) = match early {
-            Some(word) => (others.await, word),
+        let others = join_all(asked.into_iter().map(|addr| self.ask_node(addr)));
+        let (mut responses, own) = match early {
+            Some(response) => (others.await, response),
             None => tokio::join!(others, own),
         };
-        words.push(own);
-        words.extend(std::iter::repeat_n(Word::Away, away));
-        words
+        responses.push(own);
+        responses.extend(std::iter::repeat_n(Response::Away, away));
+        responses
     }
 
-    fn take_words(&self, sent: Millis, words: &[Word]) {
-        match self.verdict(words) {
-            Verdict::Holds if is_read(words) => self.confirm(sent),
-            // Some of the words may be as old as that.
+    fn apply_responses(&self, sent: Millis, responses: &[Response]) {
+        match self.verdict(responses) {
+            Verdict::Holds if has_row(responses) => self.confirm(sent),
+            // Some of the responses were taken from heartbeats, which may be as old as this.
             Verdict::Holds => self.confirm_for_now(sent.saturating_sub(RECENT_ANSWER)),
-            Verdict::Lost => self.retire("the row of ownership names another"),
+            Verdict::Lost => self.retire("the ownership row names another owner"),
             Verdict::Unknown => tracing::info!(
-                ?words,
+                ?responses,
                 active = self.is_active(),
                 "ownership is not confirmed"
             ),
         }
     }
 
-    /// One reading of the row decides.  Without any, most nodes that we know must say
-    /// that they do not reach the store, since only a node that does can claim the cell.
-    fn verdict(&self, words: &[Word]) -> Verdict {
-        let rows: Vec<&Option<OwnerRow>> = words
+    /// Decides whether the ownership holds.  Any row that was read is decisive.  Without one, most
+    /// known nodes must say that they do not reach the store, since only a node that reaches it can
+    /// claim the cell.
+    fn verdict(&self, responses: &[Response]) -> Verdict {
+        let rows: Vec<&Option<OwnerRow>> = responses
             .iter()
-            .filter_map(|word| match word {
-                Word::Row(row) => Some(row),
-                Word::Away | Word::Silent => None,
+            .filter_map(|response| match response {
+                Response::Row(row) => Some(row),
+                Response::Away | Response::Silent => None,
             })
             .collect();
         let is_ours = |row: &Option<OwnerRow>| {
@@ -117,39 +120,42 @@
         }
         let now_known = self.node_count();
         let known = now_known.max(self.known.fetch_max(now_known, Ordering::Relaxed));
-        let away = words.iter().filter(|word| **word == Word::Away).count();
+        let away = responses
+            .iter()
+            .filter(|response| **response == Response::Away)
+            .count();
         if !rows.is_empty() || away * 2 > known {
             return Verdict::Holds;
         }
         Verdict::Unknown
     }
 
-    /// How many nodes this one knows, itself among them.
+    /// The number of nodes that this one knows, including itself.
     pub(super) fn node_count(&self) -> usize {
         self.shared.members().iter().count() + 1
     }
 
-    async fn own_word(&self) -> Word {
+    async fn read_directly(&self) -> Response {
         if !self.shared.reaches_store() {
-            return Word::Away;
+            return Response::Away;
         }
         let limit = Duration::from_millis(READ_LIMIT);
-        let read = self.shared.store_direct(owner_row());
+        let read = self.shared.store_direct(read_owner_call());
         match tokio::time::timeout(limit, read).await {
-            Ok(reply) => word(reply),
-            Err(_) => Word::Away,
+            Ok(reply) => response(reply),
+            Err(_) => Response::Away,
         }
     }
 
-    async fn word_of(&self, addr: SocketAddr) -> Word {
-        match route::ask_to_relay(&self.shared, addr, &owner_row(), READ_LIMIT).await {
-            Ok(reply) => word(reply),
-            Err(_) => Word::Silent,
+    async fn ask_node(&self, addr: SocketAddr) -> Response {
+        match route::ask_to_relay(&self.shared, addr, &read_owner_call(), READ_LIMIT).await {
+            Ok(reply) => response(reply),
+            Err(_) => Response::Silent,
         }
     }
 
-    /// Of the nodes that were heard of late and know of no higher epoch: how many have just
-    /// said that they do not reach the store, and where the others answer.
+    /// Considers the nodes that were heard recently and know of no higher epoch.  Returns how many
+    /// of them have just said that they do not reach the store, and the addresses of the others.
     fn witnesses(&self, sent: Millis) -> (usize, Vec<SocketAddr>) {
         let members = self.shared.members();
         let (away, asked): (Vec<&Member>, Vec<&Member>) = members
@@ -164,22 +170,26 @@
     }
 }
 
-/// Tells whether somebody has read the row of ownership.
-fn is_read(words: &[Word]) -> bool {
-    words.iter().any(|word| matches!(word, Word::Row(_)))
+/// Tells whether the ownership row was read, by this node or another one.
+fn has_row(responses: &[Response]) -> bool {
+    responses
+        .iter()
+        .any(|response| matches!(response, Response::Row(_)))
 }
 
-fn owner_row() -> StoreCall {
+fn read_owner_call() -> StoreCall {
     StoreCall::row(Table::Cells, PARTITION, OWNER_KEY)
 }
 
-fn word(reply: Result<StoreReply, StoreError>) -> Word {
+fn response(reply: Result<StoreReply, StoreError>) -> Response {
     match reply {
-        Ok(StoreReply::Rows { rows, .. }) => Word::Row(rows.first().and_then(OwnerRow::read)),
+        Ok(StoreReply::Rows { rows, .. }) => Response::Row(rows.first().and_then(OwnerRow::read)),
         Ok(_) => {
-            tracing::warn!("the store's answer about ownership is of the wrong kind");
-            Word::Silent
+            tracing::warn!(
+                "unexpected kind of answer from the store to a read of the ownership row"
+            );
+            Response::Silent
         }
-        Err(_) => Word::Away,
+        Err(_) => Response::Away,
     }
 }
