--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -1,4 +1,4 @@
-//! Reading the rows of a cell when its ownership begins.
+//! Reads the rows of a cell from the store, above all when a node becomes its owner.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,25 +15,27 @@
 use crate::node::{halls, recording};
 use crate::store::{Row, StoreCall, StoreError, StoreReply, Table, Version};
 
-/// Progress is read in so many pieces, by the first digit of a job's id.
+/// The progress rows are read in this many key ranges at once, by the first hexadecimal digit of
+/// the job's id.
 const PROGRESS_RANGES: u32 = 16;
-/// How many rows one call reads; the store gives at most as many.
+/// The number of rows that one call asks for: the most that the store returns.
 const PAGE_ROWS: u32 = 500;
 
-/// Follows all texts that a key may go on with.
+/// A character that sorts after all others, so that a prefix followed by it is above every key with
+/// that prefix.
 const AFTER_ALL: char = char::MAX;
 
-/// A cell as it was read, with the versions from which to follow changes.
+/// A cell as it was read, with the version from which to follow changes of its jobs.
 pub struct LoadedCell {
-    /// The cell.
+    /// The scheduling core of the cell.
     pub cell: Cell,
-    /// How the roster lies in the store.
+    /// The roster's rows as they are in the store.
     pub roster: RosterRows,
-    /// The jobs as they were read.
+    /// The rows of jobs that were read.
     pub jobs: JobRows,
 }
 
-/// Reads all rows of a partition.
+/// Reads all rows of a partition, with the version from which to follow changes.
 ///
 /// # Errors
 /// See [`StoreError`].
@@ -45,7 +47,8 @@
     list_range(shared, table, partition, String::new(), String::new()).await
 }
 
-/// Reads the rows of a partition whose keys begin with `prefix`.
+/// Reads the rows of a partition whose keys begin with `prefix`, with the version from which to
+/// follow changes.
 ///
 /// # Errors
 /// See [`StoreError`].
@@ -59,8 +62,8 @@
     list_range(shared, table, partition, prefix.to_owned(), until).await
 }
 
-/// Reads what was recorded of all jobs, in several pieces at once: one after the other they would
-/// take as many answers of a store that may be slow.
+/// Reads the progress of all jobs, several key ranges at once: in sequence, each page would cost
+/// one more round trip to a store that may be slow.
 async fn list_progress(shared: &Arc<Shared>) -> Result<Vec<Row>, StoreError> {
     let bounds: Vec<String> = (1..PROGRESS_RANGES)
         .map(|digit| format!("{digit:x}"))
@@ -77,7 +80,8 @@
     Ok(rows)
 }
 
-/// Reads the rows of a partition from one key up to another; empty ones stand for its ends.
+/// Reads the rows of a partition from one key up to another; an empty key stands for the beginning
+/// or the end.  The version is that of the first page, since changes made after it may be missing.
 async fn list_range(
     shared: &Arc<Shared>,
     table: Table,
@@ -116,9 +120,9 @@
 
 /// Reads a cell for its owner under `epoch`.
 ///
-/// The roster names the workers on which something may run.  The platform's list of all workers
-/// is read behind this (`node::following`): it takes several answers of the store one after the
-/// other, while leases run out.  Nothing is placed before it has come.
+/// The roster names the workers on which tasks may be running.  The platform's list of all workers
+/// is read later, in the background (`node::following`): that takes several round trips to the
+/// store in sequence, while leases run out.  No task is placed before that list has been read.
 ///
 /// # Errors
 /// See [`StoreError`].
@@ -130,7 +134,7 @@
         halls::read(shared),
     );
     if let Err(err) = halls {
-        tracing::info!(%err, "evacuated halls cannot be read");
+        tracing::info!(%err, "cannot read the evacuated halls");
     }
     let (former, progress) = (former?, progress?);
     let now = shared.now();
@@ -144,8 +148,8 @@
     cell.restore_roster(workers, now);
     cell.await_list();
     cell.await_evacuated_halls();
-    if let Some(lapses) = recording::read_lapses(&former.0) {
-        cell.apply_remaining_leases(&lapses, now);
+    if let Some(leases) = recording::read_remaining_leases(&former.0) {
+        cell.apply_remaining_leases(&leases, now);
     }
     let mut recorded: HashMap<String, JobProgress> = HashMap::new();
     for row in &progress {
@@ -153,15 +157,16 @@
             Ok(progress) => {
                 recorded.insert(row.key.clone(), progress);
             }
-            Err(err) => tracing::error!(job = row.key, %err, "progress cannot be read"),
+            Err(err) => tracing::error!(job = row.key, %err, "cannot parse the progress of a job"),
         }
     }
     for row in &jobs.rows {
         let Some(job) = parse_job_row(&row.value) else {
             continue;
         };
-        // A row that is younger than the claim does not prove that the job is: whoever gets a job
-        // again writes its row again.  So a former owner may have started any that is found.
+        // A row that was written after the claim does not prove that the job is newer than the
+        // claim: a node to which a job is submitted again writes its row again.  So a former owner
+        // may have started any of these jobs.
         cell.accept(&job, recorded.get(&row.key), true, now);
     }
     for (key, progress) in recorded {
@@ -172,7 +177,7 @@
     for (id, state) in shared.early_ends().unknown_to(epoch) {
         cell.accept_peer_end(id, state);
     }
-    // Even if all is read, the former owner may be told of jobs for a while.
+    // Even if all rows were read, the former owner may still be notified of new jobs for a while.
     cell.set_incomplete(true);
     tracing::info!(
         epoch,
@@ -186,23 +191,23 @@
     Ok(LoadedCell { cell, roster, jobs })
 }
 
-/// Rows of jobs from all partitions that could be read.
+/// The rows of jobs from those partitions that could be read.
 pub struct JobRows {
     /// The rows.
     pub rows: Vec<Row>,
-    /// Partitions that could not be read.
+    /// The numbers of the partitions that could not be read.
     pub unread: Vec<usize>,
-    /// Follow changes from here.
+    /// The version from which to follow changes.
     pub version: Version,
 }
 
-/// Reads the jobs of all partitions; some may be away while others are read.
+/// Reads the jobs of all partitions, some of which may be unavailable while others can be read.
 pub async fn list_jobs(shared: &Arc<Shared>) -> JobRows {
     let numbers: Vec<usize> = (0..JOB_PARTITIONS).collect();
     list_job_partitions(shared, &numbers).await
 }
 
-/// Reads the jobs of some partitions.
+/// Reads the jobs of the partitions with these numbers.
 pub async fn list_job_partitions(shared: &Arc<Shared>, numbers: &[usize]) -> JobRows {
     let names: Vec<String> = numbers
         .iter()
@@ -221,7 +226,7 @@
                 jobs.version = jobs.version.min(version);
             }
             Err(err) => {
-                tracing::info!(%err, number, "jobs of a partition cannot be read");
+                tracing::info!(%err, number, "cannot read the jobs of a partition");
                 jobs.unread.push(number);
             }
         }
@@ -232,10 +237,10 @@
     jobs
 }
 
-/// Looks for a job of which nobody told yet, in all partitions.
+/// Looks for the row of a job that this node does not know yet, in all partitions.
 ///
 /// # Errors
-/// Fails if it is in none of those that can be read, and some cannot.
+/// Fails if the job is in none of the partitions that can be read, and some cannot be read.
 pub async fn find_job(shared: &Arc<Shared>, id: JobId) -> Result<Option<JobRow>, StoreError> {
     let key = id.to_string();
     let calls = (0..JOB_PARTITIONS)
@@ -258,23 +263,23 @@
     }
 }
 
-/// Reads the row of a job; one that cannot be read is logged and left out.
+/// Parses the row of a job; one that cannot be parsed is logged and left out.
 pub fn parse_job_row(value: &str) -> Option<JobRow> {
     match serde_json::from_str(value) {
         Ok(row) => Some(row),
         Err(err) => {
-            tracing::error!(%err, "a job's row cannot be read");
+            tracing::error!(%err, "cannot parse the row of a job");
             None
         }
     }
 }
 
-/// Reads the platform's entry of a worker; one that cannot be read is logged.
+/// Parses the platform's entry of a worker; one that cannot be parsed is logged and left out.
 pub fn parse_worker_entry(shared: &Shared, row: &Row) -> Option<WorkerEntry> {
     match shared.decoder.worker(&row.key, &row.value) {
         Ok(entry) => Some(entry),
         Err(err) => {
-            tracing::warn!(worker = row.key, %err, "worker left out");
+            tracing::warn!(worker = row.key, %err, "worker left out: cannot parse its entry");
             None
         }
     }
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -1,8 +1,8 @@
-//! Writing what the owner has decided.
+//! Records the owner's decisions in the store.
 //!
-//! Every transaction of an owner names the version of the row of ownership and
-//! writes that row anew.  So a former owner's transaction fails, and so does a
-//! repeated one that took effect after all: the row then shows its number.
+//! Every transaction of an owner expects the current version of the ownership row and rewrites that
+//! row.  So a transaction of a former owner fails, and so does the repetition of one that took
+//! effect after all: the row then shows the number of that transaction.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,64 +17,66 @@
 use crate::node::shared::PARTITION;
 use crate::store::{self, Row, RowKey, StoreCall, StoreError, StoreReply, Table, Transaction};
 
-/// The key of the row of ownership.
+/// The key of the ownership row.
 pub const OWNER_KEY: &str = "owner";
 
-/// The key of what an owner that gave the cell up knew of silent workers.
-const LAPSES_KEY: &str = "lapses";
+/// The key of the row with the remaining leases of silent workers, which an owner writes when it
+/// gives the cell up.
+const REMAINING_LEASES_KEY: &str = "lapses";
 
-/// The least time between two transactions: callers hardly notice it, and each
-/// transaction has its price.
+/// The least time between two transactions.  Each transaction has a cost, and this pause
+/// is short enough that callers hardly notice it.
 const RECORD_PAUSE: Duration = Duration::from_millis(20);
-/// Without any change the loop looks at the core so often.
+/// How often the recording loop checks the scheduling core when nothing has woken it.
 const RECORD_TICK: Duration = Duration::from_millis(200);
-/// The most jobs in a transaction, of whose rows the store takes 100: that of ownership and some of
-/// the roster go with them.
+/// The most jobs in a transaction.  The store accepts 100 rows in one, among them the ownership row
+/// and some rows of the roster.
 pub(super) const MAX_JOBS: usize = 80;
-/// The most rows in a transaction beside that of ownership, its version and what a release passes on.
+/// The most rows of jobs and of the roster in a transaction.  The rest of the 100 is for the
+/// ownership row, its expected version and the row of leases that a release writes.
 const MAX_ROWS: usize = 96;
-/// The most rows of the roster in a transaction, so that jobs are recorded beside them.
+/// The most rows of the roster in a transaction, so that there is room for jobs beside them.
 const MAX_ROSTER_ROWS: usize = 48;
-/// A transaction without an answer for so long is late: ten times what one takes.
-const LATE: Duration = Duration::from_millis(60);
+/// A transaction that has not been answered for this long is late: ten times what one takes.
+const LATE_AFTER: Duration = Duration::from_millis(60);
 /// The pause after a failed transaction.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
 
-/// The row of ownership.
+/// The ownership row, which names the owner of the cell.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRow {
-    /// The owner's name.
+    /// The name of the owning node.
     pub name: String,
-    /// Where it answers other nodes.
+    /// The address at which it answers other nodes.
     pub address: String,
-    /// Names the start of its process.
+    /// Identifies the start of its process.
     pub boot: u64,
-    /// Rises with each claim.
+    /// The epoch, which rises with each claim.
     pub epoch: u64,
-    /// Counts the owner's transactions.
+    /// The number of the owner's last transaction, counted from its claim.
     pub batch: u64,
     /// The owner has given the cell up.
     pub released: bool,
 }
 
 impl OwnerRow {
-    /// Reads the row; one that cannot be read is logged.
+    /// Parses the row; one that cannot be parsed is logged, and none is returned.
     pub fn read(row: &Row) -> Option<Self> {
         match serde_json::from_str(&row.value) {
             Ok(owner) => Some(owner),
             Err(err) => {
-                tracing::error!(%err, "the row of ownership cannot be read");
+                tracing::error!(%err, "cannot parse the ownership row");
                 None
             }
         }
     }
 
-    /// The row as it is written.
+    /// The value of the row as it is stored.
     pub fn write(&self) -> String {
         store::encode(self)
     }
 
-    /// The name of the row.
+    /// The key of the row.
     pub fn key() -> RowKey {
         RowKey::new(Table::Cells, PARTITION, OWNER_KEY)
     }
@@ -83,7 +85,7 @@
 impl Engine {
     pub(super) async fn record_loop(self: Arc<Self>) {
         loop {
-            // Woken by a change, or to see whether one was missed.
+            // Wakes on a change, or after a while in case a notification was missed.
             let _ = tokio::time::timeout(RECORD_TICK, self.record.notified()).await;
             self.record_once(false).await;
             let is_written = self.roster_rows().is_written();
@@ -94,19 +96,22 @@
         }
     }
 
-    /// Writes what has changed; `release` gives the cell up with it.
+    /// Writes what has changed, in one transaction that is repeated until its result is known.
+    /// With `release`, the transaction also gives the cell up.
     pub(super) async fn record_once(&self, release: bool) {
-        // Only what is taken while no other transaction is on its way can follow all that was
-        // taken before; otherwise ends would be passed on while their rows are in another batch.
+        // The lock is held until the transaction has been answered, so that a batch is only taken
+        // when no other one is in flight.  Otherwise job ends could be passed on as recorded while
+        // their rows are still in another batch.
         let mut row = self.row.lock().await;
         if release {
             self.releasing.store(true, Ordering::Relaxed);
         } else if self.releasing.load(Ordering::Relaxed) {
-            // The release may have been given up on and yet take effect, with its rows.
+            // The release may have timed out and still take effect later, together with its rows.
             return;
         }
         let most_jobs = self.most_jobs.load(Ordering::Relaxed);
-        // After a rejection the job at fault is looked for, and nothing else goes with it.
+        // After the store has rejected a transaction, the job that caused it is searched for in
+        // transactions without rows of the roster.
         let (roster, workers) = self.changed_roster(match most_jobs {
             MAX_JOBS => MAX_ROSTER_ROWS,
             _ => 0,
@@ -116,17 +121,18 @@
             .take_batch(most_jobs.min(MAX_ROWS - workers.rows()));
         if batch.rows.is_empty() && workers.rows() == 0 && !release {
             self.most_jobs.store(MAX_JOBS, Ordering::Relaxed);
-            self.finish_roster(roster, &workers);
+            self.mark_roster_written(roster, &workers);
             if !batch.ends.is_empty() || !batch.lost.is_empty() {
-                self.finish(batch);
+                self.apply_recorded(batch);
             }
             return;
         }
         let number = row.1 + 1;
-        let mut tx = self.transaction(&batch, number, &workers, release);
+        let mut tx = self.build_transaction(&batch, number, &workers, release);
         if release {
-            let lapses = self.cell().seal_silent(self.shared.now());
-            tx.puts.push((lapses_key(), store::encode(&lapses)));
+            let leases = self.cell().seal_silent(self.shared.now());
+            tx.puts
+                .push((remaining_leases_key(), store::encode(&leases)));
         }
         loop {
             if self.is_retired() {
@@ -141,29 +147,31 @@
                     self.confirm(sent);
                     break;
                 }
-                Ok(StoreReply::Conflict(rows)) => match self.settle_conflict(&rows, number) {
+                Ok(StoreReply::Conflict(rows)) => match self.resolve_conflict(&rows, number) {
                     Conflict::TookEffect(version) => {
                         *row = (version, number);
                         self.confirm(sent);
                         break;
                     }
-                    Conflict::Lost => return self.retire("a successor writes"),
+                    Conflict::Lost => {
+                        return self.retire("a successor has written the ownership row");
+                    }
                 },
                 Ok(_) => {
-                    tracing::error!("the store's answer to a transaction is of the wrong kind")
+                    tracing::error!("unexpected kind of answer from the store to a transaction")
                 }
                 Err(StoreError::Rejected(status)) => {
                     tracing::error!(
                         status,
                         rows = batch.rows.len(),
-                        "the store rejects a transaction"
+                        "store rejected a transaction"
                     );
                     self.shared.metrics.violation("rejected_transaction");
                     if batch.rows.is_empty() {
-                        // Nothing can be left out, so it is rejected again.
+                        // There is no job to leave out, so the next try would be rejected as well.
                         tokio::time::sleep(RETRY_PAUSE).await;
                     }
-                    self.rejected(batch, workers.rows() > 0);
+                    self.handle_rejection(batch, workers.rows() > 0);
                     return;
                 }
                 Err(err) => {
@@ -175,26 +183,28 @@
         }
         self.stalled.store(false, Ordering::Relaxed);
         self.most_jobs.store(MAX_JOBS, Ordering::Relaxed);
-        self.finish_roster(roster, &workers);
-        self.finish(batch);
+        self.mark_roster_written(roster, &workers);
+        self.apply_recorded(batch);
     }
 
-    /// Sends a transaction.  While its answer is late, ends are told to other nodes, so that
-    /// callers need not wait for a slow store: urgent jobs have 0.9 s to spare, and a store
-    /// that is 77 times slower takes 0.46 s for each answer.
+    /// Sends a transaction.  If its answer is late, marks the engine as stalled: job ends that wait
+    /// to be recorded then go to other nodes in heartbeats, so that callers need not wait for a
+    /// slow store.  Urgent jobs have 0.9 s to spare, and a store that is 77 times slower takes 0.46
+    /// s for each answer.
     async fn commit(&self, tx: Transaction) -> Result<StoreReply, StoreError> {
         let committing = self.shared.store(StoreCall::Commit(tx));
         tokio::pin!(committing);
-        if let Ok(reply) = tokio::time::timeout(LATE, &mut committing).await {
+        if let Ok(reply) = tokio::time::timeout(LATE_AFTER, &mut committing).await {
             return reply;
         }
         self.stalled.store(true, Ordering::Relaxed);
         committing.await
     }
 
-    /// The next transactions are smaller and hold no rows of the roster, until the job at fault is
-    /// alone in one.
-    fn rejected(&self, batch: Batch, with_roster: bool) {
+    /// Handles a transaction that the store has rejected.  The next ones hold half as many jobs and
+    /// no rows of the roster, until the job that causes the rejection is alone in one and is given
+    /// up as impossible to record.
+    fn handle_rejection(&self, batch: Batch, with_roster: bool) {
         match batch.rows.len() {
             0 => {}
             1 if !with_roster => self.cell().batch_rejected(batch),
@@ -205,7 +215,7 @@
         }
     }
 
-    /// The version of the roster, and those of its rows that are to be written next.
+    /// Returns the version of the roster, and the changed rows of it that are to be written next.
     fn changed_roster(&self, most_rows: usize) -> (u64, RosterWrite) {
         let (version, changes) = self.cell().take_roster_changes();
         let mut rows = self.roster_rows();
@@ -213,8 +223,9 @@
         (version, rows.next_write(most_rows))
     }
 
-    /// The roster of this version is recorded once all rows that had changed are.
-    fn finish_roster(&self, version: u64, written: &RosterWrite) {
+    /// Marks rows of the roster as written.  The roster of this version counts as recorded once no
+    /// changed row is left.
+    fn mark_roster_written(&self, version: u64, written: &RosterWrite) {
         let is_written = {
             let mut rows = self.roster_rows();
             rows.mark_written(written);
@@ -226,14 +237,14 @@
         }
     }
 
-    fn finish(&self, batch: Batch) {
+    fn apply_recorded(&self, batch: Batch) {
         let now = self.shared.now();
         self.cell().batch_recorded(batch, now);
         self.recorded.notify_waiters();
         self.wake.notify_one();
     }
 
-    fn transaction(
+    fn build_transaction(
         &self,
         batch: &Batch,
         number: u64,
@@ -261,7 +272,7 @@
         tx
     }
 
-    fn settle_conflict(&self, rows: &[Row], number: u64) -> Conflict {
+    fn resolve_conflict(&self, rows: &[Row], number: u64) -> Conflict {
         let found = rows
             .iter()
             .find(|row| row.key == OWNER_KEY)
@@ -279,25 +290,27 @@
     }
 }
 
-/// Reads what the former owner knew of silent workers from the rows of a cell, if it told.
-pub fn read_lapses(rows: &[Row]) -> Option<RemainingLeases> {
-    let row = rows.iter().find(|row| row.key == LAPSES_KEY)?;
+/// Finds among the rows of a cell, and parses, the remaining leases of silent workers that the
+/// former owner wrote when it released the cell.
+pub fn read_remaining_leases(rows: &[Row]) -> Option<RemainingLeases> {
+    let row = rows.iter().find(|row| row.key == REMAINING_LEASES_KEY)?;
     match serde_json::from_str(&row.value) {
-        Ok(lapses) => Some(lapses),
+        Ok(leases) => Some(leases),
         Err(err) => {
-            tracing::error!(%err, "what the former owner knew of silent workers cannot be read");
+            tracing::error!(%err, "cannot parse the remaining leases written by the former owner");
             None
         }
     }
 }
 
-fn lapses_key() -> RowKey {
-    RowKey::new(Table::Cells, PARTITION, LAPSES_KEY)
+fn remaining_leases_key() -> RowKey {
+    RowKey::new(Table::Cells, PARTITION, REMAINING_LEASES_KEY)
 }
 
+/// Why a transaction met a newer version of the ownership row.
 enum Conflict {
-    /// An earlier try of this transaction took effect as this version.
+    /// An earlier try of the same transaction took effect as this version.
     TookEffect(u64),
-    /// Somebody else has written the row of ownership.
+    /// Another node has written the ownership row.
     Lost,
 }
