--- a/src/node/roster_rows.rs
+++ b/src/node/roster_rows.rs
@@ -1,12 +1,13 @@
-//! The roster in the store: rows of bounded size, of which only changed ones are written.
+//! The layout of the roster in the store: rows of bounded size, of which only changed ones are
+//! written.
 //!
-//! A row holds the workers whose ids' hashes begin with the bits that its key names.  One that
-//! grows too long gives way to two rows that name a bit more, and two short ones to one, so a
-//! change of one worker costs one short row however many workers there are ("What is kept in the
-//! store" in `docs/DESIGN.md`).
+//! A row holds the workers whose hashed ids begin with the bits that its key names.  A row that
+//! grows too long is split into two with one more bit, and two short ones are merged into one.  So
+//! a change of one worker writes one short row, however many workers there are ("What is kept in
+//! the store" in `docs/DESIGN.md`).
 //!
-//! Rows need not change together: where a worker stands in two of them, the entry counts by which
-//! more may run there.
+//! Rows need not change in one transaction: if a worker is in two rows, its entries are merged so
+//! that every job of either entry counts as possibly running there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -18,27 +19,28 @@
 use crate::node::shared::PARTITION;
 use crate::store::{self, Row, RowKey, Table};
 
-/// A row that is longer is split.  The store takes 64 KB, and each change writes a whole row.
+/// A row longer than this is split.  The store accepts 64 KB, and each change rewrites a whole row.
 const SPLIT_BYTES: usize = 16_000;
-/// Two rows that are shorter together become one.
+/// Two sibling rows that are together no longer than this are merged.
 const MERGE_BYTES: usize = SPLIT_BYTES / 4;
-/// A longer entry names no jobs: a successor then waits for that worker with all jobs, which is
-/// slower and as safe.
+/// A longer entry is written without its list of jobs.  A successor then makes all jobs wait for
+/// that worker, which is slower and as safe.
 const MAX_ENTRY_BYTES: usize = 2_000;
-/// Rows name so many bits at least: some workers each in a small cell.
+/// The least number of bits in a row's key: it leaves some workers to each row in a small cell.
 const MIN_DEPTH: u8 = 4;
-/// Rows name so many bits at most: more do not tell that many workers apart.
+/// The most bits in a row's key: enough to tell any number of workers apart that a cell may have.
 const MAX_DEPTH: u8 = 32;
-/// The most bytes of rows in one transaction, of which the store takes 1 MB in its own form.
+/// The most bytes of rows in one transaction.  The store accepts 1 MB in its own encoding.
 const MAX_WRITE_BYTES: usize = 500_000;
-/// How the keys of the rows begin.
+/// The prefix of the rows' keys.
 const KEY_PREFIX: &str = "workers-";
 
-/// The bits that the hashes of a row's ids begin with.
+/// The leading bits that the hashed ids in a row have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Prefix {
-    /// The bits, from the highest one on; the others are zero.
+    /// The bits, left-aligned; the others are zero.
     bits: u64,
+    /// The number of bits.
     depth: u8,
 }
 
@@ -74,7 +76,7 @@
         )
     }
 
-    /// The bits that a key names; none if it is one of a former layout, which had two digits.
+    /// Parses the bits from a key; none for the key of the former layout, which had two digits.
     fn parse_key(key: &str) -> Option<Self> {
         let text = key.strip_prefix(KEY_PREFIX)?;
         let depth = u8::try_from(text.len()).ok()?;
@@ -86,42 +88,43 @@
     }
 }
 
-/// The rows of the roster, and which of them are not written yet.
+/// The rows of the roster, and which of them still have to be written.
 #[derive(Debug, Default)]
 pub struct RosterRows {
-    /// The entries as they are written, by the hashes of their ids.
+    /// The encoded entries, by the workers' hashed ids and ids.
     entries: BTreeMap<(u64, String), String>,
-    /// Rows that were split in two.
+    /// Prefixes whose row was split in two.
     split: BTreeSet<Prefix>,
-    /// Rows that have changed.
+    /// Rows that have changed and are to be written.
     changed: BTreeSet<Prefix>,
-    /// The keys of the rows that are there.
+    /// The keys of the rows that are in the store.
     stored: BTreeSet<String>,
-    /// Rows that are there and should not be.
+    /// The keys of rows that are in the store and have to be dropped.
     obsolete: BTreeSet<String>,
-    /// A row could not be read.
+    /// A row could not be parsed.
     has_unreadable_rows: bool,
 }
 
-/// Rows of the roster that go into one transaction.
+/// The changes of roster rows that go into one transaction.
 #[derive(Debug, Clone, Default)]
 pub struct RosterWrite {
     /// Rows with their new values.
     pub puts: Vec<(RowKey, String)>,
-    /// Rows that go.
+    /// Rows that are dropped.
     pub drops: Vec<RowKey>,
     written: Vec<Prefix>,
 }
 
 impl RosterWrite {
-    /// How many rows are written or dropped.
+    /// The number of rows that are written or dropped.
     pub fn rows(&self) -> usize {
         self.puts.len() + self.drops.len()
     }
 }
 
 impl RosterRows {
-    /// Reads the roster from the rows of a cell, and how it lies there; other rows are left out.
+    /// Reads the layout and the entries of the roster from the rows of a cell; other rows are
+    /// skipped.
     pub fn read(rows: &[Row]) -> (Self, Vec<RosterEntry>) {
         let mut roster = Self::default();
         let mut found: BTreeMap<String, RosterEntry> = BTreeMap::new();
@@ -132,7 +135,11 @@
                     .into_iter()
                     .for_each(|entry| merge(&mut found, entry)),
                 Err(err) => {
-                    tracing::error!(%err, key = row.key, "a part of the former owner's roster cannot be read");
+                    tracing::error!(
+                        %err,
+                        key = row.key,
+                        "cannot parse a row of the former owner's roster"
+                    );
                     roster.changed.extend(prefix);
                     roster.has_unreadable_rows = true;
                 }
@@ -146,12 +153,13 @@
         (roster, found.into_values().collect())
     }
 
-    /// Tells whether some of what the former owner wrote could not be read.
+    /// Tells whether some row of the former owner's roster could not be parsed.
     pub fn has_unreadable_rows(&self) -> bool {
         self.has_unreadable_rows
     }
 
-    /// Notes that a row is there.  One of a former layout goes once all others are written.
+    /// Notes that a row is in the store, and returns its prefix.  A row of the former layout has
+    /// none; it is dropped once all other rows are written.
     fn note_stored(&mut self, key: &str) -> Option<Prefix> {
         let prefix = Prefix::parse_key(key);
         self.stored.insert(key.to_owned());
@@ -167,8 +175,12 @@
         prefix
     }
 
-    /// Rows of a former layout are written anew, and a row that was split goes if a former owner
-    /// was lost before it could drop it.
+    /// Marks all rows as changed if there are rows of the former layout, so that their entries are
+    /// written in the present one.
+    ///
+    /// A row that was split and that a former owner could not drop before it was lost is not among
+    /// them.  It stays in the store until the two rows that replaced it are merged, and its entries
+    /// are merged with theirs whenever the roster is read.
     fn mark_legacy_rows(&mut self) {
         if !self.obsolete.is_empty() {
             let hashes: Vec<u64> = self.entries.keys().map(|(hash, _)| *hash).collect();
@@ -178,7 +190,7 @@
         }
     }
 
-    /// Takes in what has changed in the roster.
+    /// Applies changes of the roster.
     pub fn apply(&mut self, changes: Vec<RosterChange>) {
         for RosterChange { id, entry } in changes {
             let hash = hash(&id);
@@ -201,7 +213,8 @@
         }
     }
 
-    /// The row that holds the ids of this hash has changed.
+    /// Marks the row that holds ids with this hash as changed, and splits or merges it if its size
+    /// requires that.
     fn mark_changed(&mut self, hash: u64) {
         let mut prefix = Prefix::of(hash, MIN_DEPTH);
         while self.split.contains(&prefix) {
@@ -244,13 +257,13 @@
         self.merge_rows(parent);
     }
 
-    /// A row is to be written, and stays.
+    /// Marks a row as changed and not to be dropped.
     fn keep_row(&mut self, prefix: Prefix) {
         self.obsolete.remove(&prefix.key().key);
         self.changed.insert(prefix);
     }
 
-    /// Other rows take the place of this one.
+    /// Marks a row as replaced by others, and to be dropped if it is in the store.
     fn drop_row(&mut self, prefix: Prefix) {
         self.changed.remove(&prefix);
         let key = prefix.key().key;
@@ -271,13 +284,13 @@
         self.entry_texts(prefix).map(|text| text.len() + 1).sum()
     }
 
-    /// Tells whether all that was taken in is written.
+    /// Tells whether all changes that were applied are written.
     pub fn is_written(&self) -> bool {
         self.changed.is_empty() && self.obsolete.is_empty()
     }
 
-    /// What one transaction writes next, in so many rows at most.  Rows go only when those that
-    /// take their place are written, or are in the same transaction.
+    /// Returns what the next transaction is to write, in at most `most_rows` rows.  Obsolete rows
+    /// are dropped only when the rows that replace them are written or are in the same transaction.
     pub fn next_write(&self, most_rows: usize) -> RosterWrite {
         let mut write = RosterWrite::default();
         let mut bytes = 0;
@@ -298,7 +311,7 @@
         write
     }
 
-    /// These rows are durable.
+    /// Notes that these changes are durable.
     pub fn mark_written(&mut self, write: &RosterWrite) {
         for prefix in &write.written {
             self.changed.remove(prefix);
@@ -311,7 +324,8 @@
     }
 }
 
-/// Takes in one entry.  Of two for a worker the one counts by which more may run there.
+/// Adds an entry.  Two entries of one worker are merged so that more may be running there, not
+/// less.
 fn merge(found: &mut BTreeMap<String, RosterEntry>, entry: RosterEntry) {
     let Some(known) = found.get_mut(&entry.worker.life.id) else {
         found.insert(entry.worker.life.id.clone(), entry);
@@ -320,7 +334,7 @@
     known.long_lease |= entry.long_lease;
     known.lost = match (known.lost, entry.lost) {
         (known, entry) if known == entry => known,
-        // The other one tells of a life in use.
+        // One of the entries describes a life that is still in use.
         _ => Some(LostLife::Former),
     };
     known.jobs = match (known.jobs.take(), entry.jobs) {
