--- a/src/node/heartbeat.rs
+++ b/src/node/heartbeat.rs
@@ -1,9 +1,10 @@
-//! The owner's heartbeats: how often each node gets one, and what follows from the answers.
+//! The owner's heartbeats: how often each node gets one, and what the owner does with the answers.
 //!
-//! A few nodes watch the owner closely, since one of them owns the cell next; the others only
-//! need its news.  With 147 nodes that makes 390 heartbeats a second instead of 1,460, each of
-//! some 100 us of the owner's processor; a cell of up to 13 nodes notices no difference.  They
-//! are spread over the interval, so that answers do not come all at once.
+//! A few nodes, the watchers, get heartbeats at a short interval, since one of them owns the cell
+//! next; the others only need the data in a heartbeat.  With 147 nodes that makes 390 heartbeats a
+//! second instead of 1,460, each of which costs the owner some 100 us of CPU time; a cell of up to
+//! 13 nodes sees no difference.  Heartbeats are spread over the interval, so that the answers do
+//! not arrive all at once.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,21 +18,22 @@
 use crate::node::shared::Shared;
 use crate::rpc::node::Beat;
 
-/// How often the nodes that watch the owner closely hear of it: a heartbeat costs its
-/// receiver some tens of microseconds, and three may be missed before the owner is suspected.
+/// Interval of heartbeats to watchers, in milliseconds: a heartbeat costs its receiver some tens of
+/// microseconds, and three may be missed before the owner is suspected.
 pub const WATCHER_INTERVAL: Millis = owner::HEARTBEAT_INTERVAL;
-/// How often all others do: callers accept counts of waiting jobs that are 2 s old, and a
-/// node that is cut off from the store learns of a newer configuration within 2 s.
+/// Interval of heartbeats to all other nodes, in milliseconds: callers accept counts of pending
+/// jobs that are 2 s old, and a node that is cut off from the store must learn of a newer
+/// configuration within 2 s.
 pub const DEFAULT_INTERVAL: Millis = 500;
-/// How long a heartbeat may take.
+/// Time limit for the answer to a heartbeat, in milliseconds.
 pub const BEAT_TIMEOUT: Millis = 300;
-/// How often the owner looks who is due.
+/// How often the owner checks which nodes are due for a heartbeat.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the owner looks who is gone, which nodes' ways to the advice service work, and
-/// whether another node should own the cell.
+/// How often the owner checks which nodes are gone, which nodes' connections to the advice service
+/// can be used, and whether another node should own the cell; in milliseconds.
 const REVIEW_INTERVAL: Millis = 100;
 
-/// When each node is due.
+/// When each node is due for its next heartbeat.
 #[derive(Debug, Default)]
 pub struct Schedule {
     due: HashMap<String, Millis>,
@@ -40,29 +42,31 @@
 /// A node that is due for a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Due {
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// Where it answers.
+    /// The address at which it answers.
     pub address: SocketAddr,
-    /// Milliseconds until its next one.
+    /// Milliseconds until its next heartbeat.
     pub interval: Millis,
 }
 
 impl Schedule {
-    /// The nodes that are due now.  One that was not known before is due at once.
+    /// Returns the nodes that are due now, and schedules their next heartbeats.  A node that was
+    /// not known before is due at once.
     pub fn take_due(&mut self, members: &Members, now: Millis) -> Vec<Due> {
         let nodes = members.iter().count().max(1) as Millis;
         let mut due = Vec::new();
         for (place, (name, member)) in members.iter().enumerate() {
-            // One that knows other nodes than we do is told the rest piece by piece.
-            let close = members.watches(name) || !members.is_in_sync(member);
-            let interval = if close {
+            // A node whose list of members differs gets the changes at the short interval too, a
+            // bounded number in each heartbeat.
+            let is_short = members.watches(name) || !members.is_in_sync(member);
+            let interval = if is_short {
                 WATCHER_INTERVAL
             } else {
                 DEFAULT_INTERVAL
             };
             let next = match self.due.get(name).copied() {
-                // After the first one each has a place of its own in the interval.
+                // From the second heartbeat on, nodes are spread evenly over the interval.
                 None => now + interval * (place as Millis + 1) / nodes,
                 Some(at) if at > now + interval => now + interval,
                 Some(at) if at > now => continue,
@@ -82,7 +86,7 @@
     }
 }
 
-/// Tells the other nodes of this owner for as long as it is one.
+/// Sends heartbeats to the other nodes for as long as this node owns the cell.
 pub async fn run(shared: &Arc<Shared>) {
     let mut schedule = Schedule::default();
     let mut reviewed = 0;
@@ -91,8 +95,9 @@
     while let Some(engine) = shared.engine() {
         let now = shared.now();
         let due = schedule.take_due(&shared.members(), now);
-        // The counts in a heartbeat go over all jobs, so it is made once for many nodes; ends that
-        // wait for the store are told without that delay.
+        // Building a heartbeat counts all jobs, so one is reused for many nodes.  While job ends
+        // wait for the store, it is built anew each time, so that other nodes learn of them at
+        // once.
         let age = if engine.is_stalled() {
             0
         } else {
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -1,10 +1,10 @@
-//! Which other nodes there are, and what they last said of themselves.
+//! The other nodes of the cell, with the state that each last reported of itself.
 //!
-//! Every node knows all others.  A heartbeat carries no list of them but a digest of the
-//! list that its sender holds, so it has the same size in a cell of any size; what differs
-//! goes over in bounded pieces, the newest change first, for as long as two digests differ.
-//! With the whole list in each heartbeat, 147 nodes sent 18 MB a second and their owner
-//! spent most of its processor on it (docs/CAPACITY.md, "Messages between nodes").
+//! Every node knows all others.  A heartbeat does not carry the list of nodes but a digest of the
+//! sender's list, so its size does not depend on that of the cell.  While two digests differ,
+//! changes of the list are sent along in pieces of bounded size, the newest change first.  With the
+//! whole list in each heartbeat, 147 nodes sent 18 MB a second, and the owner spent most of its CPU
+//! time on it (docs/CAPACITY.md, "Messages between nodes").
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,63 +16,65 @@
 use crate::clock::Millis;
 use crate::rpc::node::{Beat, MemberChange};
 
-/// A node that has not been heard for so long is no longer asked: it is replaced
-/// under another address, or tells of itself when it is back.
+/// A node that has been silent for this long, in milliseconds, is removed: either it is replaced by
+/// one with another address, or it announces itself when it is back.
 const FORGET_AFTER: Millis = 30_000;
-/// The most changes in one heartbeat, some 60 bytes each: a list of 147 nodes goes over in a
-/// second, and a heartbeat stays below 1.5 KB.
+/// The most changes of the list in one heartbeat.  With some 60 bytes for each, a list of 147 nodes
+/// is transferred within a second, and a heartbeat stays below 1.5 KB.
 pub const MAX_CHANGES: usize = 16;
-/// So many of the strongest nodes watch the owner closely, since they may own the cell next.
+/// How many of the nodes with the most CPU capacity are watchers, since they may own the cell next.
 const STRONG_WATCHERS: usize = 8;
-/// So many others watch it as well, in case all strong ones are lost with it.
+/// How many other nodes are watchers as well, in case all of the strongest are lost with the owner.
 const OTHER_WATCHERS: usize = 4;
-/// So many nodes watch the owner closely.
+/// The number of watchers: nodes that get the owner's heartbeats at the short interval and are the
+/// first to claim the cell when it is lost.
 pub const WATCHERS: usize = STRONG_WATCHERS + OTHER_WATCHERS;
-/// So many nodes that are gone are remembered, so that nobody's word brings them back.
+/// How many removed nodes are remembered, so that outdated reports by other nodes do not add them
+/// again.
 const MAX_REMOVED: usize = 256;
 
-/// The row of a node in the store, which it writes when it starts.
+/// The row of a node in the store, which the node writes when it starts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRow {
-    /// Where it answers other nodes.
+    /// The address at which it answers other nodes.
     pub address: SocketAddr,
-    /// Thousandths of a core that its VM gives.
+    /// The CPU capacity of its VM, in thousandths of a core.
     pub millicores: u32,
 }
 
 /// One other node.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Where it answers.
+    /// The address at which it answers.
     pub address: SocketAddr,
-    /// Thousandths of a core that its VM gives; zero if that was never told.
+    /// The CPU capacity of its VM, in thousandths of a core; zero if that was never reported.
     pub millicores: u32,
-    /// Names its present start; zero if it was never heard.
+    /// Identifies the current start of its process; zero if it was never heard.
     pub boot: u64,
-    /// When it was last heard; zero for never.
+    /// When it was last heard; zero if never.
     pub heard: Millis,
-    /// Since when its silence counts.
+    /// The time from which its silence is counted, if it was not heard later.
     pub silent_since: Millis,
-    /// Its own way to the store works.
+    /// It reaches the store directly.
     pub reaches_store: bool,
-    /// It is about to end.
+    /// Its process is shutting down.
     pub leaving: bool,
     /// The version of its configuration.
     pub configuration: u64,
     /// The highest epoch that it knows.
     pub epoch: u64,
-    /// Thousandths of a core that it can spend on owning the cell.
+    /// The CPU capacity that it can spend on owning the cell, in thousandths of a core.
     pub strength: u32,
-    /// How long it had not heard the owner when it was last heard.
+    /// For how long it had not heard the owner when it was last heard, in milliseconds.
     pub owner_silence: Millis,
-    /// When we asked it, the last time that it answered that it does not reach the store;
-    /// zero if it has said otherwise since.
+    /// When the call was sent to which it last answered that it does not reach the store; zero if
+    /// it has reported since that it does.
     pub no_store_asked: Millis,
-    /// The digest of the nodes that it knows, as it last said.
+    /// The digest of its list of nodes, as it last reported.
     membership: u64,
-    /// The number of the last change of what is told of it.
+    /// The number of the last change of its row.
     changed: u64,
-    /// Changes from this number on were told to it since the last one came about.
+    /// Changes from this number on have been sent to it since the newest change was made.
     sent_from: u64,
 }
 
@@ -110,12 +112,12 @@
     }
 }
 
-/// Whose word on a third node this is.
+/// Where a report on a third node comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The owner's, which also tells who is gone; or a row that the node wrote itself.
+    /// From the owner, which also reports removed nodes, or from a row that the node wrote itself.
     Authoritative,
-    /// Another node's, which only adds nodes.
+    /// From any other node: it can only add nodes.
     Secondhand,
 }
 
@@ -124,22 +126,23 @@
 pub struct Members {
     own: String,
     known: BTreeMap<String, Member>,
-    /// Nodes that were forgotten, with the number of that change.
+    /// Nodes that were removed, with the number of that change.
     removed: BTreeMap<String, u64>,
-    /// The name that each change was about; of several changes of one node only the last.
+    /// The node that each change is about, by the number of the change.  Only the last change of
+    /// each node is kept.
     changes: BTreeMap<u64, String>,
     /// The number of the newest change.
     newest: u64,
-    /// The digest of all nodes, this one included.
+    /// The digest of all nodes, including this one.
     digest: u64,
-    /// The nodes that watch the owner closely, this one included if it is one.
+    /// The names of the watchers, which may include this node.
     watchers: BTreeSet<String>,
-    /// What this node is, for the order of those that may own the cell.
+    /// The CPU capacity of this node's VM, which decides whether it is a watcher.
     own_millicores: u32,
 }
 
 impl Members {
-    /// A node that knows nobody but itself.
+    /// Creates the list of a node that knows only itself.
     pub fn new(own: &str, row: &NodeRow) -> Self {
         let mut members = Self {
             own: own.to_owned(),
@@ -155,8 +158,8 @@
         members
     }
 
-    /// Takes in what a node says of itself and of others; tells how many entries could not be
-    /// understood or were too many.
+    /// Applies what a node reports of itself and of others.  Returns how many entries were refused,
+    /// because they could not be parsed or were too many.
     pub fn apply_heartbeat(&mut self, beat: &Beat, source: Source, now: Millis) -> usize {
         let refused = self.apply_changes(beat, source, now);
         if beat.name == self.own {
@@ -166,7 +169,7 @@
             tracing::warn!(
                 name = beat.name,
                 address = beat.address,
-                "a node's address cannot be read"
+                "cannot parse the address of a node"
             );
             return refused + 1;
         };
@@ -193,8 +196,9 @@
         refused
     }
 
-    /// What was just heard of a node answers a call that was sent at `asked`.  When an answer
-    /// arrives does not tell when it was given: this process may have stood still meanwhile.
+    /// Notes that the state just heard from a node answers a call that was sent at `asked`.  The
+    /// time of sending counts, since the time of arrival does not show when the answer was given:
+    /// this process may have been suspended meanwhile.
     pub fn note_store_answer(&mut self, name: &str, asked: Millis) {
         if let Some(member) = self.known.get_mut(name) {
             member.no_store_asked = if member.reaches_store { 0 } else { asked };
@@ -227,10 +231,11 @@
         refused
     }
 
-    /// Notes what somebody else says of a node, or what its row in the store says.
+    /// Adds or updates a node according to another node or to the row in the store.  A secondhand
+    /// report does not change a known node, or bring back a removed one.
     pub fn add(&mut self, name: &str, row: NodeRow, source: Source, now: Millis) {
-        let news = !self.known.contains_key(name) && !self.removed.contains_key(name);
-        if name != self.own && (news || source == Source::Authoritative) {
+        let is_new = !self.known.contains_key(name) && !self.removed.contains_key(name);
+        if name != self.own && (is_new || source == Source::Authoritative) {
             self.put(name, row, now);
         }
     }
@@ -245,7 +250,7 @@
                 member.millicores = row.millicores;
             }
             None => {
-                tracing::debug!(name, address = %row.address, "node known");
+                tracing::debug!(name, address = %row.address, "node added");
                 self.digest ^= digest_of(name, &row);
                 self.known.insert(name.to_owned(), Member::new(row, now));
             }
@@ -257,13 +262,14 @@
         let Some(member) = self.known.remove(name) else {
             return;
         };
-        tracing::info!(name, address = %member.address, nodes = self.known.len(), "node forgotten");
+        tracing::info!(name, address = %member.address, nodes = self.known.len(), "node removed");
         self.digest ^= digest_of(name, &member.row());
         self.changes.remove(&member.changed);
         self.note_change(name);
     }
 
-    /// Everybody who does not know of it yet is told of the newest change first.
+    /// Numbers a change of a node's row as the newest one.  To every other node whose list differs,
+    /// changes are sent again, starting with this one.
     fn note_change(&mut self, name: &str) {
         self.newest += 1;
         let newest = self.newest;
@@ -297,17 +303,17 @@
         }
     }
 
-    /// The digest of all nodes that we know, for comparison with another node's.
+    /// The digest of all nodes in the list, for comparison with another node's.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Tells whether a node knows the same nodes as we do, as far as it last said.
+    /// Tells whether a node has the same list as this one, according to its last heartbeat.
     pub fn is_in_sync(&self, member: &Member) -> bool {
         member.membership == self.digest
     }
 
-    /// The next piece of what another node may not know; empty if it knows the same.
+    /// Returns the next changes to send to a node; none if it has the same list.
     pub fn changes_for(&mut self, name: &str) -> Vec<MemberChange> {
         let Some(sent_from) = self
             .known
@@ -326,7 +332,8 @@
             }
         }
         if let Some(member) = self.known.get_mut(name) {
-            // After the last piece the first one follows: any of them may have been lost.
+            // After the oldest change it starts over, since any of the heartbeats may have been
+            // lost.
             member.sent_from = last;
         }
         changes
@@ -343,15 +350,16 @@
         }
     }
 
-    /// From now on silence counts: a node that has just become the owner has not heard most
-    /// others before, as they do not speak to one another.
+    /// Counts the silence of all nodes from `now` on.  A node that has just become the owner has
+    /// not heard most others before, since nodes other than the owner exchange no regular
+    /// heartbeats.
     pub fn restart_silence(&mut self, now: Millis) {
         for member in self.known.values_mut() {
             member.silent_since = now;
         }
     }
 
-    /// Drops nodes that have been silent for long.
+    /// Removes nodes that have been silent for too long.
     pub fn forget_silent(&mut self, now: Millis) {
         let silent: Vec<String> = self
             .known
@@ -364,23 +372,23 @@
         }
     }
 
-    /// All nodes.
+    /// Iterates over all other nodes, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.known.iter()
     }
 
-    /// The node of this name.
+    /// Returns the node of this name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.known.get(name)
     }
 
-    /// Tells whether a node watches the owner closely.
+    /// Tells whether a node is a watcher.
     pub fn watches(&self, name: &str) -> bool {
         self.watchers.contains(name)
     }
 
-    /// Other nodes in the order in which they are asked about the owner: those that watch it
-    /// closely, then all others in an order that is the same everywhere.
+    /// The addresses of the other nodes in the order in which they are asked about the owner: first
+    /// the watchers, then all others, in an order that is the same on every node.
     pub fn candidates(&self) -> Vec<SocketAddr> {
         let mut others: Vec<(bool, u64, SocketAddr)> = self
             .known
@@ -391,8 +399,8 @@
         others.into_iter().map(|(_, _, address)| address).collect()
     }
 
-    /// Where other nodes answer that watch the owner closely; if this one is none of them, one more
-    /// is named.
+    /// The first [`WATCHERS`] of [`Self::candidates`]: all watchers if this node is not one of
+    /// them, otherwise the other watchers and one more node.
     pub fn first_candidates(&self) -> Vec<SocketAddr> {
         let mut candidates = self.candidates();
         candidates.truncate(WATCHERS);
@@ -410,7 +418,8 @@
         self.watchers = all.into_iter().map(|(_, name)| name.clone()).collect();
     }
 
-    /// Nodes that were heard within `window` and reach the store, the latest first.
+    /// The addresses of nodes that were heard within `window` and reach the store, the most
+    /// recently heard first.
     pub fn relays(&self, now: Millis, window: Millis) -> Vec<SocketAddr> {
         let mut relays: Vec<&Member> = self
             .known
@@ -423,13 +432,14 @@
     }
 }
 
-/// Digests of different nodes are combined by exclusive or, so that their order does not
-/// matter and one node comes or goes in one step.
+/// The digest of one node.  The digests of all nodes are combined by exclusive or, so that their
+/// order does not matter, and adding or removing one takes a single step.
 fn digest_of(name: &str, row: &NodeRow) -> u64 {
     xxh3_64(format!("{name} {} {}", row.address, row.millicores).as_bytes())
 }
 
-/// A place in an order that is the same on every node and prefers nobody.
+/// A hash by which nodes are sorted or spread: the same on every node, and without preference for
+/// any.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
