--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -1,4 +1,5 @@
-//! Following the rows that others write: workers' entries and accepted jobs.
+//! Follows the store's rows that others write: the platform's entries of workers, and jobs that
+//! other nodes have accepted.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,11 +11,12 @@
 use crate::node::loading::{self, JobRows};
 use crate::store::{Row, StoreCall, StoreReply, Table, Version};
 
-/// How often the list of workers is read: leaving workers must be known within 2 s.
+/// How often changes of workers' entries are read: leaving workers must be known within 2 s.
 const WORKERS_POLL: Duration = Duration::from_millis(400);
-/// After an answer with so many changes more of them may wait.
+/// An answer with at least this many changes may not be the last one: more may be waiting.
 const FULL_ANSWER_ROWS: usize = 100;
-/// How often jobs are looked for of which no node told: those of nodes that died.
+/// How often the store is checked for jobs of which no node has notified the owner, because the
+/// node that accepted them died.
 const JOBS_POLL: Duration = Duration::from_millis(1_000);
 /// The pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
@@ -28,10 +30,13 @@
         }
     }
 
-    /// Takes in what has changed since a version, and tells from where to go on.
+    /// Applies the changes of workers' entries since the version `after`, and returns the version
+    /// from which to go on.
     ///
-    /// Every heartbeat of a worker is a change, and the store gives some hundred at a time.  An owner
-    /// that pauses after each answer hears ever later of workers that leave, the more there are.
+    /// Every heartbeat of a worker is a change, and the store returns some hundred of them at a
+    /// time.  So the next answer is read without a pause while there are more changes: an owner
+    /// that paused after each answer would learn of leaving workers ever later, the more workers
+    /// there are.
     async fn follow_workers(self: &Arc<Self>, mut after: Version) -> Version {
         loop {
             let asked = self.shared.now();
@@ -51,7 +56,10 @@
                     }
                 }
                 Ok(_) => {
-                    tracing::info!(after, "the store has forgotten changes of workers");
+                    tracing::info!(
+                        after,
+                        "store no longer has the changes of workers; listing all"
+                    );
                     return self.list_all_workers().await;
                 }
                 Err(_) => {
@@ -62,7 +70,8 @@
         }
     }
 
-    /// Reads the list of all workers, as often as it takes, and tells from where to follow it.
+    /// Reads the list of all workers, repeatedly until that succeeds, and returns the version from
+    /// which to follow changes.
     async fn list_all_workers(self: &Arc<Self>) -> Version {
         loop {
             let asked = self.shared.now();
@@ -74,7 +83,7 @@
                     self.wake.notify_one();
                     return version;
                 }
-                Err(err) => tracing::info!(%err, "workers cannot be listed"),
+                Err(err) => tracing::info!(%err, "cannot list workers"),
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
@@ -140,7 +149,10 @@
                         .set_incomplete(!(former_owner_stopped && unread.is_empty()));
                 }
                 Ok(_) => {
-                    tracing::info!(after, "the store has forgotten changes of jobs");
+                    tracing::info!(
+                        after,
+                        "store no longer has the changes of jobs; listing all"
+                    );
                     let jobs = loading::list_jobs(&self.shared).await;
                     self.apply_job_rows(&jobs.rows);
                     cleaner.note(&jobs.rows);
@@ -154,15 +166,16 @@
         }
     }
 
-    /// Tells whether the former owner gives no orders any more.  It may be told of jobs until
-    /// then, and what it ran of them is found before their rows.
+    /// Tells whether the former owner has certainly stopped giving orders.  Until then it may still
+    /// be notified of new jobs and start their tasks, and a worker may report such a run before
+    /// this owner has read the job's row.
     fn has_former_owner_stopped(&self) -> bool {
         self.shared.now() > self.since + tuning::OWNER_STOP_TIME
     }
 
     fn apply_job_rows(&self, rows: &[Row]) {
         for row in rows.iter().filter(|row| !row.dropped) {
-            // Most jobs were told of by the node that took them in.
+            // The node that accepted a job has usually notified the owner of it.
             if row.key.parse().is_ok_and(|id| self.cell().knows_job(id)) {
                 continue;
             }
--- a/src/node/halls.rs
+++ b/src/node/halls.rs
@@ -1,8 +1,9 @@
-//! Following which halls the operator has evacuated.
+//! Follows which data halls the operator has evacuated.
 //!
-//! The owner and the nodes that watch it closely follow that, so that a successor knows it at once.  An
-//! owner that the store turns away reads it through another node: what it started there meanwhile,
-//! nobody would want.
+//! The owner and the watchers (the nodes that may own the cell next) follow the operator's rows, so
+//! that a successor knows the evacuated halls at once.  An owner that cannot reach the store
+//! directly reads the rows through another node, since it would otherwise go on to start tasks in
+//! a hall that has been evacuated meanwhile.
 
 use std::sync::Arc;
 
@@ -11,23 +12,25 @@
 use crate::node::shared::Shared;
 use crate::store::{Row, StoreError, Table, Version};
 
-/// What the operator's rows about halls say.
+/// The evacuated halls according to the operator's rows.
 #[derive(Debug, Default)]
 pub struct HallRows {
     known: Evacuations,
-    /// The halls that are evacuated; none if no list was ever read.
+    /// The halls that are evacuated; none if that is not known.
     evacuated: Option<Arc<Halls>>,
-    /// The newest row that cannot be read: it is told of once, however often it is listed.
+    /// The version of the newest row that cannot be parsed.  It is reported once, however often it
+    /// is listed.
     unreadable: Version,
 }
 
 impl HallRows {
-    /// The halls that are evacuated; none if that is not known.
+    /// Returns the halls that are evacuated; none if that is not known.
     pub fn evacuated(&self) -> Option<Arc<Halls>> {
         self.evacuated.clone()
     }
 
-    /// What the rows say is not followed any more, so it may change unheard.
+    /// Marks the evacuated halls as unknown, because the rows are no longer followed and may change
+    /// unnoticed.
     pub fn stop_following(&mut self) {
         self.evacuated = None;
     }
@@ -39,7 +42,7 @@
         }
     }
 
-    /// A row that cannot be read changes nothing: the hall stays as it was.
+    /// Reports rows that cannot be parsed.  Such a row changes nothing: the hall stays as it was.
     fn report_unreadable(&mut self, shared: &Shared, rows: &[&Row]) {
         let Some(newest) = rows.iter().max_by_key(|row| row.version) else {
             return;
@@ -58,7 +61,7 @@
     }
 }
 
-/// Reads all rows about halls, by any way to the store.
+/// Reads all rows about halls from the store, directly or through another node.
 ///
 /// # Errors
 /// See [`StoreError`].
@@ -74,7 +77,7 @@
     Ok(())
 }
 
-/// Takes in rows that have changed; other rows of the operator are passed over.
+/// Applies changed rows of the operator; those that are not about halls are skipped.
 pub fn apply_changes(shared: &Shared, rows: &[Row]) {
     let mut halls = shared.hall_rows();
     apply_rows(shared, &mut halls, rows);
