--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -141,7 +141,7 @@
 /// The state of one cell in the hands of its owner.
 pub struct Cell {
     epoch: u64,
-    next_run: u64,
+    last_run_number: u64,
     /// The newest sequence number that was given.
     sequence: Sequence,
     config: Arc<Configuration>,
@@ -227,7 +227,7 @@
         let window = tuning::LEASE + tuning::LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000;
         Self {
             epoch,
-            next_run: epoch * tuning::RUNS_PER_EPOCH,
+            last_run_number: epoch * tuning::RUNS_PER_EPOCH,
             sequence: Sequence::default(),
             config,
             policy: Arc::new(BuiltIn),
@@ -533,7 +533,7 @@
     }
 
     /// Tells whether ends of this worker wait to be recorded; it would list them again at once.
-    pub fn has_unrecorded_ends(&self, key: WorkerKey) -> bool {
+    pub fn has_ends_to_record(&self, key: WorkerKey) -> bool {
         let worker = self.workers.get(key);
         worker.is_some_and(|worker| worker.seen_end > worker.recorded_end)
     }
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -378,8 +378,8 @@
     }
 
     fn next_number(&mut self) -> u64 {
-        self.next_run += 1;
-        self.next_run
+        self.last_run_number += 1;
+        self.last_run_number
     }
 
     /// Orders a start, after checking once more that it breaks no rule; or has it recorded first.
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -188,7 +188,7 @@
         let recorded = async {
             loop {
                 let recorded = self.recorded.notified();
-                if !self.cell().has_unrecorded_ends(key) {
+                if !self.cell().has_ends_to_record(key) {
                     return;
                 }
                 recorded.await;
