--- a/src/cell/name.rs
+++ b/src/cell/name.rs
@@ -1,18 +1,18 @@
-//! Names of steps and tasks, as they appear in orders and logs.
+//! Names of steps and tasks, as used in orders to workers and in logs.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::cell::spec::JobId;
 
-/// One step of a job at one of its times.
+/// Names one step of one occurrence of a job: `job.time.step`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepName {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
-    /// Which time of a scheduled job, from zero; zero for all others.
+    /// The occurrence of a scheduled job, counted from zero; zero for jobs without a schedule.
     pub time: u32,
-    /// The step's place in the job.
+    /// The index of the step in the job's list of steps.
     pub step: u16,
 }
 
@@ -22,12 +22,12 @@
     }
 }
 
-/// One task of a step.
+/// Names one task of a step: `job.time.step.index`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskName {
-    /// The step.
+    /// The name of the step.
     pub step: StepName,
-    /// The task's place in the step.
+    /// The index of the task in the step.
     pub index: u32,
 }
 
@@ -37,9 +37,9 @@
     }
 }
 
-/// The text is not a task's name.
+/// A text that does not have the form of a [`TaskName`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("not the name of a task")]
+#[error("not a task name: expected <job>.<time>.<step>.<index>")]
 pub struct NameError;
 
 impl FromStr for TaskName {
