--- a/src/cell/sequence.rs
+++ b/src/cell/sequence.rs
@@ -1,17 +1,18 @@
-//! Sequence numbers: the order in which the core sends looks and hears from workers.
+//! Sequence numbers: the order in which the core sends looks and receives answers from workers.
 //!
-//! A worker's list proves that a run is over only if its look was sent after something that
-//! proved the run to have begun was heard.  Clocks cannot tell that: they count milliseconds, and
-//! calls take one or less (see "Orders" in `docs/DESIGN.md`).
+//! A look polls a worker for its running and ended runs.  That a run is missing from the answer
+//! proves that it has ended only if the look was sent after the owner had received proof that the
+//! run had begun.  Clock readings cannot establish that order: they have a resolution of one
+//! millisecond, and a call takes a millisecond or less (see "Orders" in `docs/DESIGN.md`).
 
 use crate::cell::Cell;
 
-/// A place in that order; the default comes before all others.
+/// A position in that order; the default precedes all assigned numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Sequence(u64);
 
 impl Cell {
-    /// Gives the next sequence number, for a look that is sent or an answer that is heard.
+    /// Returns the next sequence number, for a look to be sent or an answer just received.
     pub(super) fn next_sequence(&mut self) -> Sequence {
         self.sequence.0 += 1;
         self.sequence
