--- a/src/cell/life.rs
+++ b/src/cell/life.rs
@@ -1,8 +1,8 @@
-//! Lives of workers: a worker that starts again may keep its id.
+//! Lives of workers: the incarnations of a worker that restarts under the same id.
 //!
-//! A life ends with its process, and so does all that rests on it: what it runs, its count of
-//! ends, its clock, its lease, the epochs and stops that it has seen.  See "Lives" in
-//! `docs/DESIGN.md`.
+//! A life is one run of a worker's process, from start to exit.  All state of the process ends with
+//! it: its runs, its numbering of ends, its clock, its lease, and the epochs and stops that it has
+//! seen.  See "Lives" in `docs/DESIGN.md`.
 
 use std::fmt;
 
@@ -13,19 +13,19 @@
 use crate::cell::worker::WorkerEntry;
 use crate::clock::Millis;
 
-/// One life of a worker.
+/// Identifies one life of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Life {
-    /// Names the worker; a later life may have the same id.
+    /// The id of the worker; a later life may have the same one.
     pub id: String,
-    /// When it started, in Unix milliseconds by the worker's own word.  None if it does not
-    /// tell: then the id alone names the life.
+    /// When the process started, in Unix milliseconds, as reported by the worker.  `None` if it
+    /// does not report that: then the id alone identifies the life.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<Millis>,
 }
 
 impl Life {
-    /// A life that does not tell when it started.
+    /// Creates a life whose start time is not known.
     pub fn of(id: impl Into<String>) -> Self {
         Self {
             id: id.into(),
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Tells whether a worker of this id that says to have started at `born` is another life for
-    /// certain.  Times of day step, so they only tell lives apart: neither is the later one.
+    /// Returns whether a worker of this id that reports `born` as its start time is certainly
+    /// another life.  The time of day may be set back, so start times only distinguish lives; they
+    /// do not show which one is the later.
     pub fn differs_from(&self, born: Option<Millis>) -> bool {
         matches!((self.born, born), (Some(ours), Some(theirs)) if ours != theirs)
     }
@@ -50,38 +51,41 @@
     }
 }
 
-/// Another life of a worker, as the platform lists it.
+/// Another life of a worker, which the platform lists and which has not answered yet.
 #[derive(Debug, Clone)]
 pub struct NextLife {
-    /// Its entry.
+    /// The platform's entry for it.
     pub entry: WorkerEntry,
-    /// When that was read.
+    /// When the entry was read.
     pub listed: Sequence,
-    /// The last look there brought nothing, so the next one goes where the present life was.
+    /// The last look at its address was not answered, so the next one goes to the address of the
+    /// present life.
     pub is_passed_over: bool,
 }
 
-/// The lives of a worker before the present one, as far as they are known to this owner.
+/// The former lives of a worker: those before the present one that this owner knows of.
 #[derive(Debug, Clone, Default)]
 pub struct FormerLives {
+    /// How many there were.
     count: u64,
-    /// When the latest of them started, the last one first.
+    /// The start times of the latest ones, newest first; lives without a known start time are left
+    /// out.
     born: Vec<Millis>,
-    /// When the last one was found to be over.
+    /// When the last one was found to have ended, by the owner's clock.
     since: Millis,
 }
 
 impl FormerLives {
-    /// How long a former life can matter: its orders may come late, and what they start has the
-    /// longest lease.
+    /// How long a former life can still have effects after it has ended, in milliseconds: an order
+    /// meant for it may be carried out this late, and what that starts may have the longest lease.
     pub const RELEVANT_FOR: Millis = tuning::MAX_ORDER_DELAY + Self::LONGEST_LEASE;
 
-    /// The longest lease of a worker, by our clock.
+    /// The longest lease of a worker, measured by the owner's clock, in milliseconds.
     pub const LONGEST_LEASE: Millis = tuning::MAX_LEASE
         + tuning::MAX_LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000
         + tuning::LEASE_MARGIN;
 
-    /// Those and one more.
+    /// Returns these lives with `life` added as the last one, which ended at `now`.
     pub fn with(&self, life: &Life, now: Millis) -> Self {
         let kept = self.born.len().min(tuning::LIVES_PER_EPOCH as usize - 1);
         let born = life
@@ -95,25 +99,27 @@
         }
     }
 
-    /// How far above the owner's epoch the present life's lies.
+    /// Returns how far above the owner's epoch the epoch of the present life lies.
     pub fn epoch_offset(&self) -> u64 {
         self.count.min(tuning::LIVES_PER_EPOCH - 1)
     }
 
-    /// Tells whether the present life has no epoch of its own any more.
+    /// Returns whether the epochs that one owner can give to lives are used up, so that the present
+    /// life shares its epoch with the one before.
     pub fn epochs_are_exhausted(&self) -> bool {
         self.count >= tuning::LIVES_PER_EPOCH
     }
 
-    /// Tells whether one that another has followed started then: two workers have one id.
+    /// Returns whether a life that started at `born` was followed by another former life.  If it
+    /// answers again, two workers have the same id.
     pub fn were_superseded(&self, born: Option<Millis>) -> bool {
-        let followed = self.born.iter().skip(1);
-        born.is_some_and(|born| followed.into_iter().any(|&former| former == born))
+        let superseded = self.born.iter().skip(1);
+        born.is_some_and(|born| superseded.into_iter().any(|&former| former == born))
     }
 
-    /// Tells whether they matter no more: no late order can reach a further life, and the last one
-    /// has seen no epoch but the owner's own.  Others are kept, since a life that comes back
-    /// refuses lower ones.
+    /// Returns whether they can be discarded: no late order can reach a further life any more, and
+    /// the only one was addressed under the owner's own epoch.  After more than one life they are
+    /// kept, since a life that comes back refuses epochs lower than the one it has seen.
     pub fn are_obsolete(&self, now: Millis) -> bool {
         self.count <= 1 && now.saturating_sub(self.since) > Self::RELEVANT_FOR
     }
