--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -1,4 +1,4 @@
-//! What the owner of a cell knows of one worker.
+//! The owner's record of one worker: its entry, its room, its lease, and the ends it has listed.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,148 +15,155 @@
 /// One life of a worker as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerEntry {
-    /// The life that wrote it.
+    /// The life that wrote the entry.
     #[serde(flatten)]
     pub life: Life,
-    /// Where it takes orders.
+    /// The address at which it accepts orders.
     pub address: SocketAddr,
-    /// The machine, which outlives the life.
+    /// The machine that it runs on, which outlives the life.
     pub machine: String,
     /// The service whose tasks it runs.
     pub service: String,
-    /// The data hall.
+    /// The data hall that it stands in.
     pub hall: String,
-    /// All of its room.
+    /// Its whole room, whether in use or not.
     pub capacity: Demand,
     /// Its labels, the rack's among them.
     pub labels: Vec<String>,
-    /// Its rack, if it tells one.
+    /// Its rack, if the entry names one.
     pub rack: Option<String>,
-    /// Set if it will leave: at least so many milliseconds remain, if it said how many.
+    /// Set if the worker is about to leave: the least time until then, in milliseconds after its
+    /// notice; zero if it did not say.
     pub leaving: Option<Millis>,
 }
 
-/// Which ends a look makes a worker forget.
+/// Which ends the next look tells a worker to forget, that is, to drop from its list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextForget {
-    /// None: there are none, or another life may answer.
+    /// None: there are none to forget, or another life may answer.
     Nothing,
-    /// None, so that its answer shows which life is there; the next look may.
+    /// None yet: the answer must show first which life is there; the look after it may name some.
     Deferred,
-    /// Those up to this number.
+    /// All ends up to this number.
     UpTo(u64),
 }
 
 /// How far a worker's results can be trusted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    /// Runs that failed since the last one that ended well.
+    /// How many runs have failed since the last one that succeeded.
     pub failures: u32,
-    /// Nothing is placed there before.
+    /// No task is placed on the worker before this time.
     pub shunned_until: Millis,
-    /// After a pause only one task is tried, until it ends well.
+    /// After being shunned the worker gets one task at a time until one has succeeded.
     pub on_trial: bool,
 }
 
-/// One worker of the cell.
+/// One life of a worker of the cell.  Times are by the owner's clock unless stated otherwise.
 #[derive(Debug)]
 pub struct Worker {
-    /// What the platform lists.
+    /// The worker's entry in the platform's list.
     pub entry: WorkerEntry,
-    /// When this life became known: an answer to a later look comes from one that began no earlier.
+    /// When this life became known: a look sent later is answered by a life that began no earlier.
     pub listed: Sequence,
     /// Another life of this id that the platform lists, and that has not answered yet.
     pub next: Option<NextLife>,
-    /// The lives before this one.
+    /// The lives of this id before this one.
     pub former: FormerLives,
-    /// Nothing is placed there before: orders to a former life cannot be told from orders to this one.
+    /// No task is placed here before this time, since the worker cannot tell orders meant for a
+    /// former life from orders meant for this one.
     pub quarantined_until: Millis,
-    /// Since when the platform does not list it any more; none while it does.
+    /// Since when the platform has not listed it; none while it does.
     pub unlisted_since: Option<Millis>,
-    /// Its newest entry could not be read, so nothing is placed there until one can.
+    /// `entry` is not the newest one: that could not be read, or that of this life has not been
+    /// read yet.  No task is placed here until it has been.
     pub entry_outdated: bool,
-    /// What a former owner may have left there, if it may have used it.
+    /// What a former owner may have left running here; none if it did not use this worker.
     pub inherited: Option<InheritedWork>,
-    /// By our clock, when what a former owner may have left there is over at the latest.
+    /// When all of that has ended at the latest.
     pub inherited_until: Millis,
-    /// A successor was told how long something may still run there, so no lease is renewed.
+    /// A successor has been told how long something may still run here, so no lease is renewed and
+    /// no task is placed any more.
     pub sealed: bool,
-    /// How it stands in the roster.
+    /// How the worker stands in the roster.
     pub roster_state: RosterState,
-    /// The version of the roster since which it stands there so.
+    /// The version of the roster in which `roster_state` last changed, or a long lease was added.
     pub roster_state_version: u64,
-    /// It has answered under our epoch, so predecessors' orders are refused there.
+    /// It has answered under this owner's epoch, so it refuses the orders of predecessors.
     pub fenced: bool,
-    /// When it said to have started, if it has answered under our epoch.
+    /// The start time in its last answer under this owner's epoch, in Unix milliseconds; none if it
+    /// reports none or has not answered yet.
     reported_born: Option<Millis>,
-    /// When it last answered.
+    /// When it last answered a look.
     pub heard: Millis,
-    /// The latest look whose list was taken in: looks may overtake each other.
+    /// The latest look whose answer was processed; looks may overtake each other.
     pub look_sent: Sequence,
-    /// When a list was last taken in: one whose look was sent before may be older.
+    /// When an answer was last processed: an answer to a look sent before that may be the older
+    /// one.
     pub list_heard: Sequence,
-    /// Since when calls bring no answer; none if the last one did.
+    /// Since when calls have not been answered; none if the last one was.
     pub silent_since: Option<Millis>,
-    /// When it said that it leaves.
+    /// When it gave notice that it leaves.
     pub leaving_since: Option<Millis>,
-    /// A reading of its clock, and when that arrived.
+    /// The last reading of the worker's clock, and when it arrived.
     pub clock: Option<(Millis, Millis)>,
-    /// By our clock, when everything that runs there must have ended unless the lease is renewed.
+    /// When everything here must have ended unless the lease is renewed.
     pub lease_end: Millis,
-    /// Until then something may run there under a lease that was meant for another clock.
+    /// Until when something may run here under the longest lease: an order meant for the clock of
+    /// another life can give it.
     pub long_lease_until: Millis,
-    /// That stands so in the roster.
+    /// The roster says that something may run here under the longest lease.
     pub has_long_lease: bool,
-    /// It is idle and beyond the reserve, so it is neither looked at nor used.
+    /// It is an idle worker beyond the reserve, so it is neither looked at nor used.
     pub parked: bool,
-    /// When it was parked no longer; zero if it never was.
+    /// When it was last unparked; zero if it never was.
     pub unparked_at: Millis,
-    /// All runs that may take room there.
+    /// All runs that may take up room here.
     pub runs: Vec<RunKey>,
-    /// The room that they take.
+    /// The room that they take up.
     pub used: Demand,
-    /// Processors that fillers would like to use, in millicores.
+    /// The processors that its fillers ask for, in millicores.  They do not count in `used`.
     pub filler_millicores: u64,
-    /// How many of the runs serve users of their own.
+    /// How many of the runs are serving tasks, beside which no filler may run.
     pub serving: u32,
     /// How many of the runs are fillers.
     pub fillers: u32,
-    /// How many of the runs are tried by themselves: nothing is started beside them.
+    /// How many of the runs are trials of tasks that may crash workers: nothing is started beside
+    /// them.
     pub trials: u32,
-    /// It is silent, and what may have crashed it is noted.
+    /// It is silent, and the runs that may have crashed it have been noted.
     pub suspected: bool,
-    /// The number up to which all ends were taken in.
+    /// The number up to which all ends have been accepted.
     pub seen_end: u64,
-    /// Ends beyond that which were taken in as well.
+    /// The numbers of ends beyond that which have been accepted as well.
     taken_ends: BTreeSet<u64>,
-    /// The number of the last end that is recorded, so the worker may forget it.
+    /// The number up to which all ends are recorded, so that the worker may forget them.
     pub recorded_end: u64,
-    /// The number up to which it has been told to forget them, by a look that it has answered.
+    /// The number up to which it was told to forget them, by a look that it has answered.
     pub forgotten_end: u64,
-    /// It is looked at once more before it may forget any.
+    /// The last look named no ends to forget, to find out first which life answers.
     pub forget_deferred: bool,
     /// It lists ends of jobs that could not be read yet.
     pub holds_ends: bool,
-    /// The number of the end that was last found to wait for its job.
+    /// The number of the first such end, as last logged.
     pub held_end: u64,
-    /// It may have more ends than it has listed.
+    /// Its list of ends was full, so it may have more.
     pub more_ends: bool,
-    /// It has listed everything to us once, all of jobs that are known: a full list hides
-    /// nothing any more but ends of our own runs.
+    /// It has once listed everything, and only of known jobs: from then on a full list can hide
+    /// only ends of this owner's own runs.
     pub listed_whole: bool,
-    /// Jobs that could not be read yet and of which it listed runs or ends when it was last
-    /// looked at.
+    /// The jobs that could not be read yet and of which its last list named runs or ends.
     pub unread_jobs: BTreeSet<JobId>,
-    /// It lists runs of such jobs.
+    /// It lists running runs of such jobs.
     pub has_unread_runs: bool,
-    /// Runs that it lists and that are none of ours; they are being stopped.
+    /// How many runs it lists that belong to no known job; they are being stopped.
     pub unknown_runs: usize,
     /// How far its results can be trusted.
     pub health: Health,
 }
 
 impl Worker {
-    /// Makes a worker of which nothing but its entry is known.
+    /// Creates a worker of which only the entry is known.
     pub fn new(entry: WorkerEntry) -> Self {
         Self {
             entry,
@@ -207,10 +214,11 @@
         }
     }
 
-    /// Makes the life that follows on `former`: all that rests on a life begins anew.
+    /// Creates the life that follows `former`, without the state that ended with that life.
     ///
-    /// The roster names workers by id, so it covers the new life until it is recorded anew.  A
-    /// successor that was told that nothing more is done here may rely on it.
+    /// What belongs to the id rather than to the life carries over.  The roster names workers by
+    /// id, so its entry covers the new life until it is recorded again.  `sealed` stays set, since
+    /// a successor that was told so relies on no more being started here.
     pub fn next_life(former: &Self, born: Option<Millis>, now: Millis) -> Self {
         let mut next = Self::new(former.entry.clone());
         next.unlisted_since = former.unlisted_since;
@@ -219,7 +227,8 @@
         next.roster_state = former.roster_state;
         next.roster_state_version = former.roster_state_version;
         if !former.fenced {
-            // Else what an earlier owner had left there is over, and this one may have used it since.
+            // What an earlier owner left is only still relevant if `former` never answered this
+            // owner: otherwise it has ended, and this owner may have used the worker since.
             next.inherited.clone_from(&former.inherited);
             next.inherited_until = former.inherited_until;
         }
@@ -228,15 +237,16 @@
         next
     }
 
-    /// Tells whether nothing rests on this life yet.  One that has replaced another has already told of
-    /// ends, before it has answered under its own epoch.
+    /// Returns whether no state depends on this life yet.  A life that has replaced another one may
+    /// have listed ends before it has answered under its own epoch.
     pub fn is_pristine(&self) -> bool {
-        let has_told = self.seen_end > 0 || !self.taken_ends.is_empty() || self.holds_ends;
-        !self.fenced && !has_told && self.runs.is_empty()
+        let has_listed = self.seen_end > 0 || !self.taken_ends.is_empty() || self.holds_ends;
+        !self.fenced && !has_listed && self.runs.is_empty()
     }
 
-    /// Tells whether an answer by which it has started at `born` is another life's.  A process does
-    /// not begin or cease to tell, so one that does is another one; what it lists goes on anyway.
+    /// Returns whether an answer that reports `born` as the start time comes from another life.  A
+    /// process either always reports its start time or never does, so one that changes this is
+    /// another process; the runs that it lists are carried over in either case.
     pub fn is_different_life(&self, born: Option<Millis>) -> bool {
         if self.fenced {
             return self.reported_born != born;
@@ -244,14 +254,14 @@
         self.entry.life.differs_from(born)
     }
 
-    /// It has answered that it started at `born`.
+    /// Records that this life has answered with `born` as its start time.
     pub fn confirm_life(&mut self, born: Option<Millis>) {
         self.reported_born = born;
         self.entry.life.born = born.or(self.entry.life.born);
     }
 
-    /// This is the life that started at `born`.  Its room, labels and address are those of its
-    /// entry; until that is read nothing is placed there.
+    /// Makes this the life that started at `born`.  Its room, labels and address come from its own
+    /// entry; if that has not been read yet, no task is placed here until it has been.
     pub fn switch_to_life(&mut self, born: Option<Millis>, now: Millis) {
         let entry = self.next.take().map(|next| next.entry);
         match entry.filter(|entry| entry.life.born == born) {
@@ -265,7 +275,9 @@
         self.leaving_since = self.entry.leaving.map(|_| now);
     }
 
-    /// Other lives came before this one.
+    /// Sets the lives before this one.  If this one shares its epoch with a former life, or two
+    /// workers have this id, no task is placed here until orders meant for former lives have
+    /// expired.
     pub fn set_former_lives(&mut self, former: FormerLives, now: Millis) {
         if former.epochs_are_exhausted() || former.were_superseded(self.entry.life.born) {
             self.quarantined_until = now + FormerLives::RELEVANT_FOR;
@@ -273,7 +285,8 @@
         self.former = former;
     }
 
-    /// Where it is looked at.
+    /// Returns the address for the next call: that of the listed next life, unless the last call
+    /// there was not answered.
     pub fn address(&self) -> SocketAddr {
         match &self.next {
             Some(next) if !next.is_passed_over => next.entry.address,
@@ -281,9 +294,12 @@
         }
     }
 
-    /// Which ends the next look may make it forget.  Another life would forget what nobody has
-    /// read, so this one must have been heard more lately than a worker is away that starts again.
-    /// One more look is made for that, and no second one by an owner whose turns come late.
+    /// Returns which ends the next look may tell it to forget.
+    ///
+    /// Another life would forget ends that nobody has read.  So this life must have answered within
+    /// `MIN_RESTART_TIME`, less time than a restart takes.  If it has not, one look without ends to
+    /// forget is sent first; a second one is not, or an owner that is slow itself would never get
+    /// to forget any.
     pub fn next_forget(&self, now: Millis) -> NextForget {
         if self.recorded_end == self.forgotten_end || self.has_uncertain_life() {
             NextForget::Nothing
@@ -295,17 +311,18 @@
         }
     }
 
-    /// Tells whether another life may answer the next call.
+    /// Returns whether another life may answer the next call.
     pub fn has_uncertain_life(&self) -> bool {
         self.is_silent() || self.next.is_some()
     }
 
-    /// Tells whether the last call brought no answer.
+    /// Returns whether the last call was not answered.
     pub fn is_silent(&self) -> bool {
         self.silent_since.is_some()
     }
 
-    /// A call brought no answer.
+    /// Records that a call was not answered; the next one goes to the other address, if there are
+    /// two.
     pub fn mark_silent(&mut self, now: Millis) {
         if let Some(next) = &mut self.next {
             next.is_passed_over = !next.is_passed_over;
@@ -313,19 +330,18 @@
         self.silent_since.get_or_insert(now);
     }
 
-    /// Notes that the end of this number is taken in; false if it was before.
+    /// Records that the end of this number is accepted; returns false if it was before.
     pub fn accept_end(&mut self, place: u64) -> bool {
         place > self.seen_end && self.taken_ends.insert(place)
     }
 
-    /// All ends up to this number are taken in.
+    /// Records that all ends up to this number are accepted.
     pub fn accept_ends_up_to(&mut self, place: u64) {
         self.seen_end = self.seen_end.max(place);
         self.taken_ends = self.taken_ends.split_off(&(self.seen_end + 1));
     }
 
-    /// What it listed when it was last looked at counts no more: a later list follows, or its
-    /// lease is over.
+    /// Clears what is known from its last list: a later list replaces it, or its lease has run out.
     pub fn clear_listed_state(&mut self) {
         self.unknown_runs = 0;
         self.unread_jobs.clear();
@@ -334,40 +350,40 @@
         self.more_ends = false;
     }
 
-    /// Tells whether it lists ends that are not recorded: only this worker can tell a
-    /// successor of them.
+    /// Returns whether it lists, or may list, ends that are not recorded: a successor can learn of
+    /// them from this worker only.
     pub fn has_unrecorded_ends(&self) -> bool {
         self.holds_ends || self.more_ends || self.seen_end > self.recorded_end
     }
 
-    /// Tells whether tasks may have been started here of which this owner does not know: by a former
-    /// one, or of jobs that were not read yet.
+    /// Returns whether tasks may have been started here that this owner does not know of: by a
+    /// former owner, or of jobs that could not be read yet.
     pub fn may_have_unknown_starts(&self) -> bool {
         let is_unheard = !self.fenced && self.inherited.is_some();
         is_unheard || self.has_unread_runs
     }
 
-    /// Tells whether something may run here, or soon may, or has ended and is not recorded: a
-    /// successor must know of it.
+    /// Returns whether a successor must know of this worker: something runs here or may soon be
+    /// started, or an end is not recorded.
     pub fn may_hold_work(&self, now: Millis) -> bool {
         let empty = self.runs.is_empty() && self.unknown_runs == 0 && !self.has_unrecorded_ends();
         let lost = self.is_silent() && now > self.lease_end;
         !(empty && (self.entry.leaving.is_some() || lost))
     }
 
-    /// Tells whether nothing runs here and nothing is to be told or found out: a successor that does
-    /// not know of it misses nothing.
+    /// Returns whether nothing runs here, all ends are recorded and forgotten, and the worker's
+    /// state is not in doubt: a successor that does not know of it misses nothing.
     pub fn is_idle(&self) -> bool {
         let is_empty =
             self.runs.is_empty() && self.unknown_runs == 0 && self.unread_jobs.is_empty();
-        let is_told = !self.has_unrecorded_ends() && self.forgotten_end == self.recorded_end;
+        let is_recorded = !self.has_unrecorded_ends() && self.forgotten_end == self.recorded_end;
         let is_sound =
             !self.has_uncertain_life() && !self.entry_outdated && !self.suspected && !self.sealed;
         let stays = self.unlisted_since.is_none() && self.entry.leaving.is_none();
-        is_empty && is_told && is_sound && stays && !self.has_long_lease
+        is_empty && is_recorded && is_sound && stays && !self.has_long_lease
     }
 
-    /// A run takes its room here.
+    /// Adds a run and takes up its room.
     pub fn hold(&mut self, run: RunKey, step: &Step, is_trial: bool) {
         self.used.add(&step.room());
         self.serving += u32::from(step.serves());
@@ -379,7 +395,7 @@
         self.runs.push(run);
     }
 
-    /// A run gives its room back.
+    /// Removes a run and gives its room back.
     pub fn release(&mut self, run: RunKey, step: &Step, is_trial: bool) {
         self.used = self.used.minus(&step.room());
         self.serving -= u32::from(step.serves());
@@ -391,8 +407,8 @@
         self.runs.retain(|&other| other != run);
     }
 
-    /// The room that is free: none where too much of one kind is taken, by a late start or since the
-    /// room has shrunk, also not of the other kinds.
+    /// Returns the free room.  If more of any one resource is in use than there is, by a late start
+    /// or because the worker's room has shrunk, no resource counts as free.
     pub fn free(&self) -> Demand {
         if !self.used.fits(&self.entry.capacity) {
             return Demand::default();
@@ -400,52 +416,56 @@
         self.entry.capacity.minus(&self.used)
     }
 
-    /// Reads the worker's clock as it should stand now; never ahead of it but for drift.
+    /// Estimates the worker's clock at `now` from its last reading.  But for drift the estimate is
+    /// never ahead of the clock, since the reading was older than its arrival.
     pub fn clock_at(&self, now: Millis) -> Option<Millis> {
         let (reading, at) = self.clock?;
         Some(reading + now.saturating_sub(at))
     }
 
-    /// Tells whether its clock was read so lately that a lease may be given by it: what a clock
-    /// may have lost since must fit into `LEASE_MARGIN`, and after a lease nothing runs there.
+    /// Returns whether its clock was read recently enough to give a lease by it, at most `LEASE`
+    /// ago: what a clock may have lost since must fit into `LEASE_MARGIN`, and after a lease
+    /// without renewal nothing runs here anyway.
     pub fn has_recent_clock(&self, now: Millis) -> bool {
-        let late = |(_, at): (Millis, Millis)| now.saturating_sub(at) <= tuning::LEASE;
-        self.clock.is_some_and(late)
+        let is_recent = |(_, at): (Millis, Millis)| now.saturating_sub(at) <= tuning::LEASE;
+        self.clock.is_some_and(is_recent)
     }
 
-    /// Notes that an order with a lease of `lease` is sent now.
+    /// Records that an order with a lease of `lease` milliseconds is sent at `now`.  The worker's
+    /// clock may be slow, so the lease may last longer by the owner's clock.
     pub fn extend_lease(&mut self, now: Millis, lease: Millis) {
         let longest =
             lease + lease * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000 + tuning::LEASE_MARGIN;
         self.lease_end = self.lease_end.max(now + longest);
     }
 
-    /// Tells whether it lived so lately that a crash just now is hardly a chance.  Trials are few, so for
-    /// those a longer time will do.
+    /// Returns whether it has answered so recently that a crash right after a start is hardly a
+    /// coincidence.  Trials are few, so a longer time is allowed for them.
     pub fn was_heard_recently(&self, is_trial: bool, now: Millis) -> bool {
-        let lately = if is_trial {
+        let limit = if is_trial {
             tuning::FRESH_START_AGE
         } else {
             tuning::RECENTLY_HEARD
         };
-        now.saturating_sub(self.heard) <= lately
+        now.saturating_sub(self.heard) <= limit
     }
 
-    /// An order that was meant for another clock may have given it the longest lease.  What it is given
-    /// later runs under that lease as well, so a successor is told of it also while nothing runs.
+    /// Assumes the longest lease, which an order meant for the clock of another life may have
+    /// given.  Later runs are under that lease as well, so the roster tells a successor of it even
+    /// while nothing runs.
     pub fn assume_longest_lease(&mut self, now: Millis) {
         self.extend_lease(now, tuning::MAX_LEASE);
         self.long_lease_until = self.lease_end;
     }
 
-    /// Tells whether the platform has not listed it for so long that it counts as gone,
-    /// though it may still answer: some workers leave without a word.
+    /// Returns whether the platform has not listed it for more than `GONE_AFTER`.  It then counts
+    /// as gone even if it still answers, since some workers leave without notice.
     pub fn is_gone(&self, now: Millis) -> bool {
         let unlisted = self.unlisted_since;
         unlisted.is_some_and(|since| now.saturating_sub(since) > tuning::GONE_AFTER)
     }
 
-    /// Tells whether new tasks may be placed here at all.
+    /// Returns whether the state of the worker allows new tasks to be placed on it.
     pub fn takes_work(&self, now: Millis) -> bool {
         self.fenced
             && !self.parked
@@ -461,7 +481,7 @@
             && now.saturating_sub(self.heard) < tuning::STALE_AFTER
     }
 
-    /// Tells whether the worker is one that may run `step` for `service`.
+    /// Returns whether the worker belongs to `service` and has the label that `step` requires.
     pub fn allows(&self, step: &Step, service: &str) -> bool {
         if self.entry.service != service {
             return false;
@@ -472,7 +492,8 @@
         }
     }
 
-    /// Counts how many tasks of `step` fit beside what is there, given `here` of them already.
+    /// Returns how many more tasks of `step` fit beside the runs that are here, `here` of which are
+    /// tasks of that step.
     pub fn fit(&self, step: &Step, here: u32) -> u32 {
         if step.filler && self.serving > 0 {
             return 0;
@@ -493,7 +514,7 @@
         fit
     }
 
-    /// How many more fillers would find processors that nobody else uses.
+    /// Returns how many more fillers of `step` would find processors that no other run asks for.
     fn filler_room(&self, step: &Step) -> u32 {
         let others = Demand {
             millicores: self.filler_millicores,
