--- a/src/cell/roster.rs
+++ b/src/cell/roster.rs
@@ -1,9 +1,9 @@
-//! The roster: on which workers something may run, for a successor to know.
+//! The roster: a record, for the next owner of the cell, of the workers on which something may run.
 //!
-//! A successor may start a task of a job that it found only when no run of it can go on
-//! elsewhere.  It learns that from the workers, once they answer under its epoch.  For
-//! one that was silent already, the roster names the jobs that it may still run, so that
-//! all others need not wait for it (see "Ownership" in `docs/DESIGN.md`).
+//! A successor may start a task of a job that it inherits only when no run of that task can be
+//! going on elsewhere.  It learns that from the workers, once they answer under its epoch.  For a
+//! worker that is silent already, the roster names the jobs that may still run there, so that other
+//! jobs need not wait for it (see "Ownership" in `docs/DESIGN.md`).
 
 use std::collections::BTreeSet;
 
@@ -20,43 +20,44 @@
 /// One worker of the recorded roster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// The worker.
+    /// The worker's entry in the platform's list.
     #[serde(flatten)]
     pub worker: WorkerEntry,
-    /// The only jobs of which something may run there; none if it may be any.  The owner
-    /// starts nothing there before it has recorded an entry without this.
+    /// The only jobs of which something may run there; `None` if it may be any job.  While an entry
+    /// names jobs the owner starts nothing there: it records one with `None` first.
     #[serde(default)]
     pub jobs: Option<Vec<JobId>>,
-    /// What runs there may have the longest lease instead of the owner's.
+    /// What runs there may have the longest lease that a worker gives, instead of the owner's.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub long_lease: bool,
-    /// A life of it is over on which starts may be forgotten.
+    /// Set if a life of the worker has ended on which a former owner may have started tasks without
+    /// recording that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lost: Option<LostLife>,
 }
 
-/// What has changed of one worker in the roster.
+/// A change of one worker's entry in the roster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RosterChange {
     /// The worker's id.
     pub id: String,
-    /// Its entry; none if it is not in the roster any more.
+    /// The new entry; `None` if the worker has left the roster.
     pub entry: Option<RosterEntry>,
 }
 
 /// How a worker stands in the roster.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RosterState {
-    /// It is not in it: nothing runs there.
+    /// Not listed: nothing runs there.
     #[default]
     Absent,
-    /// Anything may run there.
+    /// Listed without jobs: tasks of any job may run there.
     AnyJob,
-    /// Only the jobs that are named may run there.
+    /// Listed with jobs: only tasks of those may run there.
     NamedJobs,
 }
 
-/// What a former owner may have left on a worker that has not answered us yet.
+/// What a former owner may have left running on a worker that has not answered this owner yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InheritedWork {
     /// Tasks of any job.
@@ -65,17 +66,17 @@
     Jobs(Vec<JobId>),
 }
 
-/// Jobs of which a former owner may have left runs that we do not know of.
+/// Jobs that may have runs or ends which this owner does not know of yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UnsettledJobs {
-    /// Any job that it knew.
+    /// Any job that a former owner knew.
     Any,
     /// Only these.
     Jobs(BTreeSet<JobId>),
 }
 
 impl UnsettledJobs {
-    /// Tells whether runs of the job may go on unknown to us.
+    /// Returns whether the job may have runs or ends that this owner does not know of.
     pub fn contains(&self, id: JobId) -> bool {
         match self {
             Self::Any => true,
@@ -85,8 +86,8 @@
 }
 
 impl Cell {
-    /// The version of the roster, and its entries by id.  A successor must hear from each
-    /// worker, or wait its lease out.
+    /// Returns the version of the roster and its entries, sorted by id.  A successor must hear from
+    /// each of these workers, or wait until its lease has run out.
     pub fn roster(&self) -> (u64, Vec<RosterEntry>) {
         let workers = self.workers.values();
         let listed = workers.filter(|worker| worker.roster_state != RosterState::Absent);
@@ -97,8 +98,8 @@
         (self.roster_version, entries)
     }
 
-    /// The version of the roster, and what has changed in it since that was last asked.  At any
-    /// moment few workers change, so that a change costs no look at all others.
+    /// Returns the version of the roster, and its changes since the last call.  Few workers change
+    /// at a time, so this avoids going over all the others.
     pub fn take_roster_changes(&mut self) -> (u64, Vec<RosterChange>) {
         let changed = std::mem::take(&mut self.roster_changes);
         let changes = changed.into_iter().map(|id| RosterChange {
@@ -116,7 +117,7 @@
         Some(self.roster_entry(worker))
     }
 
-    /// Tells whether the present life of a worker is in the roster.
+    /// Returns whether the present life of a worker is in the roster.
     fn is_in_roster(&self, id: &str) -> bool {
         let worker = self.worker_ids.get(id).map(|&key| &self.workers[key]);
         worker.is_some_and(|worker| worker.roster_state != RosterState::Absent)
@@ -133,6 +134,7 @@
         }
     }
 
+    /// Returns the jobs that the entry of a worker names; none if anything may run there.
     fn named_jobs(&self, worker: &Worker) -> Option<Vec<JobId>> {
         if worker.roster_state != RosterState::NamedJobs {
             return None;
@@ -150,17 +152,17 @@
         Some(jobs)
     }
 
-    /// The version of the roster.
+    /// Returns the version of the roster, which rises with each change.
     pub fn roster_version(&self) -> u64 {
         self.roster_version
     }
 
-    /// The roster of this version is durable; the workers in it may be used.
+    /// Records that the roster of this version is durable, so that the workers in it may be used.
     pub fn mark_roster_recorded(&mut self, version: u64) {
         self.recorded_roster_version = self.recorded_roster_version.max(version);
     }
 
-    /// Brings the roster up to date.
+    /// Updates how each worker stands in the roster.
     pub(super) fn update_roster(&mut self, now: Millis) {
         for worker in self.workers.values_mut() {
             let has_long_lease = now < worker.long_lease_until;
@@ -169,22 +171,22 @@
                 self.roster_version += 1;
                 self.roster_changes.insert(worker.entry.life.id.clone());
                 if has_long_lease {
-                    // Nothing starts there before a successor would know.
+                    // Nothing is started there before the long lease is recorded for a successor.
                     worker.roster_state_version = self.roster_version;
                 }
             }
-            let wanted = target_roster_state(worker, self.settled, now);
-            if wanted == worker.roster_state {
+            let target = target_roster_state(worker, self.settled, now);
+            if target == worker.roster_state {
                 continue;
             }
             self.roster_version += 1;
             self.roster_changes.insert(worker.entry.life.id.clone());
-            worker.roster_state = wanted;
+            worker.roster_state = target;
             worker.roster_state_version = self.roster_version;
         }
     }
 
-    /// A former owner may have used these workers.
+    /// Takes over the recorded roster of the former owner, which may have used these workers.
     pub fn restore_roster(&mut self, entries: Vec<RosterEntry>, now: Millis) {
         for entry in entries {
             if entry.lost.is_some() {
@@ -203,8 +205,8 @@
             self.list_worker(worker, now);
             if let Some(&key) = self.worker_ids.get(&id) {
                 let worker = &mut self.workers[key];
-                // What is recorded stays so until we have looked: a roster that we record
-                // before, or as we give the cell up, must not leave the worker out.
+                // The recorded state stays until the worker has answered: a roster that this owner
+                // records before that, or when it gives up the cell, must not leave the worker out.
                 worker.roster_state = match jobs {
                     Some(_) => RosterState::NamedJobs,
                     None => RosterState::AnyJob,
@@ -217,7 +219,8 @@
         }
     }
 
-    /// Tells whether a task may be placed on a worker at all: a successor would know.
+    /// Returns whether tasks may be placed on a worker now.  It must be in the recorded roster, so
+    /// that a successor would know of them.
     pub(super) fn takes_work(&self, key: WorkerKey, now: Millis) -> bool {
         !self.awaits_worker_list
             && self.workers.get(key).is_some_and(|worker| {
@@ -227,7 +230,7 @@
             && self.is_hall_open(key)
     }
 
-    /// Tells whether tasks may be placed on a worker now or in a while.
+    /// Returns whether tasks may be placed on a worker now or soon.
     pub(super) fn will_take_work(&self, key: WorkerKey, now: Millis) -> bool {
         self.workers.get(key).is_some_and(|worker| {
             let leaves = worker.entry.leaving.is_some() || worker.is_gone(now);
@@ -237,8 +240,8 @@
         }) && self.is_hall_open(key)
     }
 
-    /// From here on the tasks of jobs that a former owner knew may start: it has no
-    /// run left that we do not know of.
+    /// Settles the ownership once no run of a former owner can be left that this one does not know
+    /// of: from then on the tasks of jobs that the former owner knew may start.
     pub(super) fn settle(&mut self, now: Millis) {
         if self.settled {
             return;
@@ -250,8 +253,8 @@
         }
         self.settled = true;
         let workers = self.workers.iter();
-        let unheard = workers.filter(|(_, worker)| !worker.fenced && worker.inherited.is_some());
-        for key in unheard.map(|(key, _)| key).collect::<Vec<_>>() {
+        let unreached = workers.filter(|(_, worker)| !worker.fenced && worker.inherited.is_some());
+        for key in unreached.map(|(key, _)| key).collect::<Vec<_>>() {
             self.keep_lost_life(key);
         }
         self.unsettled = UnsettledJobs::Jobs(BTreeSet::new());
@@ -259,17 +262,20 @@
         self.break_partial_gangs(now);
     }
 
-    /// By when what a former owner has left anywhere is over, also where it had the longest lease.
+    /// Returns when the last run of a former owner has ended, also where it may have the longest
+    /// lease.
     fn latest_settle_deadline(&self) -> Millis {
-        let unheard = self.workers.values().filter(|worker| !worker.fenced);
-        let longest = unheard.map(|worker| worker.long_lease_until).max();
+        let unfenced = self.workers.values().filter(|worker| !worker.fenced);
+        let longest = unfenced.map(|worker| worker.long_lease_until).max();
         longest.unwrap_or_default().max(self.settle_deadline)
     }
 
+    /// Returns the jobs of which a former owner may still run something on workers that have not
+    /// answered this owner.
     fn find_unsettled(&self, now: Millis) -> UnsettledJobs {
         let mut unsettled = BTreeSet::new();
-        let unheard = |worker: &&Worker| !worker.fenced && now < worker.inherited_until;
-        for worker in self.workers.values().filter(unheard) {
+        let is_unsettled = |worker: &&Worker| !worker.fenced && now < worker.inherited_until;
+        for worker in self.workers.values().filter(is_unsettled) {
             match &worker.inherited {
                 Some(InheritedWork::Any) => return UnsettledJobs::Any,
                 Some(InheritedWork::Jobs(jobs)) => unsettled.extend(jobs),
@@ -279,16 +285,17 @@
         UnsettledJobs::Jobs(unsettled)
     }
 
-    /// Tells whether tasks of a step must wait since a former owner may still run them, or
-    /// has run them to their end.
+    /// Returns whether tasks of a step must wait, since runs that a former owner started may still
+    /// be going on, or may have ended unnoticed.  `awaiting_look` comes from
+    /// [`Cell::jobs_awaiting_look`].
     pub(super) fn is_unsettled(&self, step: &StepRun, awaiting_look: &UnsettledJobs) -> bool {
         let id = step.name.job;
         let predates = self.jobs[step.job].predates;
         predates && (self.unsettled.contains(id) || awaiting_look.contains(id))
     }
 
-    /// Jobs of which some worker listed runs or ends when they were not read yet, or may have
-    /// some that it has never listed: the next look at that worker takes them in.
+    /// Returns the jobs of which some worker listed runs or ends before they had been read, or may
+    /// have ends that did not fit into its list yet: the next look at that worker brings them.
     pub(super) fn jobs_awaiting_look(&self) -> UnsettledJobs {
         let mut jobs = BTreeSet::new();
         for worker in self.workers.values() {
@@ -300,7 +307,7 @@
         UnsettledJobs::Jobs(jobs)
     }
 
-    /// A former owner's gang that is not whole is stopped.
+    /// Stops the gangs of a former owner that run only in part.
     fn break_partial_gangs(&mut self, now: Millis) {
         let partial: Vec<StepKey> = self
             .steps
@@ -313,17 +320,18 @@
             .map(|(key, _)| key)
             .collect();
         for key in partial {
-            self.stop_step(key, now, "gang is not whole");
+            self.stop_step(key, now, "gang is incomplete");
         }
     }
 }
 
+/// Returns how a worker should stand in the roster.
 fn target_roster_state(worker: &Worker, settled: bool, now: Millis) -> RosterState {
     if worker.parked {
         return RosterState::Absent;
     }
     if !worker.fenced && !settled {
-        // What a former owner left there is known only as far as it was recorded.
+        // What a former owner left there is known only from the roster that it recorded.
         return match &worker.inherited {
             Some(InheritedWork::Jobs(_)) => RosterState::NamedJobs,
             Some(InheritedWork::Any) => RosterState::AnyJob,
