--- a/src/cell/parking.rs
+++ b/src/cell/parking.rs
@@ -1,8 +1,9 @@
-//! IdleWorkers workers that are parked.
+//! Parks idle workers.
 //!
-//! Nothing runs on a parked worker, so it is not looked at and not in the roster, and neither the
-//! owner nor its successor spends anything on it.  So what an owner does follows the work that there
-//! is and a reserve, not the number of workers ("Parked workers" in `docs/DESIGN.md`).
+//! Nothing runs on a parked worker.  It is not looked at and not in the roster, so it costs neither
+//! the owner nor its successor anything.  The load of an owner thus depends on the work there is
+//! and on the size of the idle reserve, not on the number of workers ("Parked workers" in
+//! `docs/DESIGN.md`).
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
 use crate::cell::{Cell, StepKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
-/// The idle workers of one service, by rank.
+/// The idle workers of one service, each with its rank in the order of parking.
 #[derive(Default)]
 struct IdleWorkers {
     awake: Vec<(u64, WorkerKey)>,
@@ -21,37 +22,39 @@
 }
 
 impl Cell {
-    /// Keeps so many idle workers of each service awake.
+    /// Sets how many idle workers of each service are kept unparked as a reserve.
     pub fn set_idle_reserve(&mut self, idle_reserve: usize) {
         self.idle_reserve = idle_reserve;
     }
 
-    /// The former owner's roster could not be read whole: a worker that is not in what was read may
-    /// run something, so none is parked before it has answered.
+    /// Records that the former owner's roster could not be read completely.  A worker missing from
+    /// what was read may run something, so no worker is parked before it has answered.
     pub fn mark_roster_incomplete(&mut self) {
         self.roster_is_complete = false;
         self.assume_unrecorded_starts();
     }
 
-    /// Workers that are not parked any more and are to be looked at, each told once.
+    /// Takes the workers that are no longer parked, so that whoever looks at them goes on; each is
+    /// returned once.
     pub fn take_unparked(&mut self) -> Vec<WorkerKey> {
         std::mem::take(&mut self.unparked)
     }
 
-    /// Tells whether a worker is parked.
+    /// Returns whether a worker is parked.
     pub fn is_parked(&self, key: WorkerKey) -> bool {
         self.workers.get(key).is_some_and(|worker| worker.parked)
     }
 
-    /// Some times a second, parks idle workers beyond the reserve, and wakes some when that has
-    /// fallen to the half.
+    /// Once per `PARKING_INTERVAL`, parks idle workers beyond the reserve, and unparks some when
+    /// fewer than half of the reserve are left.
     pub(super) fn review_parking(&mut self, now: Millis) {
         if now >= self.parking_reviewed + tuning::PARKING_INTERVAL {
             self.adjust_parking(now);
         }
     }
 
-    /// The same at once: all workers of a new list would be looked at otherwise.
+    /// Parks and unparks workers by the same rule, at once.  Called for a new list of workers, all
+    /// of which would be looked at otherwise.
     pub(super) fn adjust_parking(&mut self, now: Millis) {
         self.parking_reviewed = now;
         let mut services: BTreeMap<&str, IdleWorkers> = BTreeMap::new();
@@ -83,23 +86,24 @@
         }
     }
 
-    /// Tells whether a worker is idle, and its owner knows that nothing runs there.
+    /// Returns whether a worker is idle and the owner knows that nothing runs there.
     fn is_parkable(&self, worker: &Worker, now: Millis) -> bool {
         let is_known = worker.fenced || (worker.inherited.is_none() && self.roster_is_complete);
         is_known && worker.is_idle() && worker.quarantined_until <= now
     }
 
+    /// Parks a worker, unless it was unparked less than `MIN_AWAKE_TIME` ago.
     fn park(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
-        let was_woken_lately =
+        let was_unparked_recently =
             worker.unparked_at > 0 && now < worker.unparked_at + tuning::MIN_AWAKE_TIME;
-        if !was_woken_lately {
+        if !was_unparked_recently {
             worker.parked = true;
             self.parked += 1;
         }
     }
 
-    /// A parked worker is looked at again, and may be used as soon as the roster names it.
+    /// Unparks a worker: it is looked at again, and may be used once it is in the recorded roster.
     pub(super) fn unpark(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         if worker.parked {
@@ -110,24 +114,25 @@
         }
     }
 
-    /// Something was told of a worker that its owner must look into.
+    /// Unparks a worker of which something was learnt that the owner must look into.
     pub(super) fn unpark_unless_idle(&mut self, key: WorkerKey, now: Millis) {
         if !self.workers[key].is_idle() {
             self.unpark(key, now);
         }
     }
 
-    /// A worker is gone; whoever waits for it to be woken finds that out.
+    /// Records that a parked worker was lost, so that whoever waits for it to be unparked learns of
+    /// it.
     pub(super) fn remove_parked(&mut self, key: WorkerKey) {
         self.parked -= 1;
         self.unparked.push(key);
     }
 
-    /// A step finds too few places among the workers that are awake: wakes some that could take its
-    /// tasks, but no more than a few at a time.
+    /// Unparks workers that could run tasks of a step which finds too few places.  At most
+    /// `MAX_WAKING` workers are being unparked at a time, over all steps.
     ///
-    /// A step that waits long asks in each round, and to look through the workers each time would take
-    /// most of a full cell's rounds.
+    /// A step is served once per `WAKE_INTERVAL` at most.  A waiting step asks in each scheduling
+    /// round, and searching all workers each time would take up most of the rounds of a full cell.
     pub(super) fn unpark_for_step(&mut self, key: StepKey, tasks: u32, now: Millis) {
         let step = &mut self.steps[key];
         if self.parked == 0 || now < step.next_wake {
@@ -142,14 +147,14 @@
         }
     }
 
-    /// Parked workers that could take tasks of a step.
+    /// Returns the parked workers that could run tasks of a step.
     fn parked_places(&self, key: StepKey) -> impl Iterator<Item = WorkerKey> {
         let parked = self.workers.iter().filter(|(_, worker)| worker.parked);
         let places = parked.filter(move |&(worker, _)| self.could_take(worker, key));
         places.map(|(key, _)| key)
     }
 
-    /// Tells whether a worker that is not in use could take tasks of a step.
+    /// Returns whether an unused worker could run tasks of a step.
     fn could_take(&self, key: WorkerKey, step: StepKey) -> bool {
         let (worker, step) = (&self.workers[key], &self.steps[step]);
         worker.allows(step.step(), &self.jobs[step.job].queue.service)
@@ -158,7 +163,7 @@
             && !self.is_evacuated(worker)
     }
 
-    /// Tells whether a step's tasks wait for workers that are parked or just being woken.
+    /// Returns whether a step's tasks may get workers that are parked or were just unparked.
     pub(super) fn waits_for_waking(&self, step: StepKey, now: Millis) -> bool {
         let may_wake = |(key, worker): (WorkerKey, &Worker)| {
             (worker.parked || self.is_waking(key, now)) && self.could_take(key, step)
@@ -166,7 +171,7 @@
         self.workers.iter().any(may_wake)
     }
 
-    /// A job comes whose data lies on racks that may be parked.
+    /// Unparks the racks that hold the data of a new job.
     pub(super) fn unpark_racks(&mut self, steps: &[Step], now: Millis) {
         if self.parked == 0 {
             return;
@@ -181,22 +186,24 @@
         }
     }
 
-    /// How many workers were woken a moment ago and cannot be used yet.
+    /// Returns how many workers were just unparked and cannot be used yet.
     fn count_waking(&self, now: Millis) -> usize {
         let keys = self.workers.keys();
         keys.filter(|&key| self.is_waking(key, now)).count()
     }
 
+    /// Returns whether a worker was unparked less than `WAKE_TIMEOUT` ago and cannot be used yet.
     fn is_waking(&self, key: WorkerKey, now: Millis) -> bool {
         let worker = &self.workers[key];
-        let is_new = worker.unparked_at > 0 && now < worker.unparked_at + tuning::WAKE_TIMEOUT;
-        is_new && !self.takes_work(key, now)
+        let is_recent = worker.unparked_at > 0 && now < worker.unparked_at + tuning::WAKE_TIMEOUT;
+        is_recent && !self.takes_work(key, now)
     }
 }
 
-/// Racks stay awake or are parked as a whole, since some work wants to lie within one; which of
-/// them does not depend on where they stand.
+/// Returns the rank of a worker in the order of parking.  It is a hash of the rack, so that racks
+/// are parked as a whole, since some jobs prefer to run within one rack, and so that the unparked
+/// racks are spread over all halls.  A worker without a rack is ranked by its id.
 fn rank(worker: &Worker) -> u64 {
-    let place = worker.entry.rack.as_ref();
-    xxh3_64(place.unwrap_or(&worker.entry.life.id).as_bytes())
+    let rack = worker.entry.rack.as_ref();
+    xxh3_64(rack.unwrap_or(&worker.entry.life.id).as_bytes())
 }
