--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -1,10 +1,10 @@
-//! The scheduling core of one cell: which task runs where, on which worker.
+//! The scheduling core of one cell: it decides which task runs on which worker.
 //!
-//! It is pure: events and the time are handed in, orders come out, so a test can
-//! replay any order of events.  `docs/DESIGN.md` explains the rules it keeps.
+//! It does no I/O and reads no clock: events and the time are passed in, and it returns orders, so
+//! tests can replay any sequence of events.  `docs/DESIGN.md` explains the rules that it follows.
 //!
-//! The same events bring the same orders in each process, so no decision rests on the order of a
-//! hash map that gives none.
+//! It is deterministic: the same events yield the same orders in every process.  Hash maps with
+//! unspecified iteration order are therefore disallowed here.
 #![deny(clippy::disallowed_types)]
 
 pub mod advice;
@@ -64,7 +64,7 @@
     pub struct WorkerKey;
     /// A job of the cell.
     pub struct JobKey;
-    /// A step of a job at one time.
+    /// A step of one occurrence of a job.
     pub struct StepKey;
     /// A run of a task.
     pub struct RunKey;
@@ -72,7 +72,7 @@
     pub struct WorkspaceKey;
 }
 
-/// Counts of what the core did, for metrics.
+/// Counts of what the core has done since the ownership began, for metrics.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     /// Starts ordered.
@@ -81,148 +81,162 @@
     pub planned: u64,
     /// Stops ordered.
     pub stops: u64,
-    /// Questions about where a step may run.
+    /// Questions to the advice service on which workers may run a step.
     pub questions: u64,
-    /// Steps for which workers to ask about were looked for.
+    /// Searches for workers to name in such a question, one per step.
     pub advice_looks: u64,
-    /// Workers looked at for those.
+    /// Workers examined in these searches.
     pub advice_workers: u64,
-    /// Workers looked at as places for a step.
+    /// Workers examined as placement candidates for a step.
     pub places: u64,
-    /// Orders refused since they would have broken a rule.
+    /// Violations of an invariant: starts withheld because they would break one, and runs taken
+    /// over that do not fit on their worker.
     pub violations: u64,
-    /// Runs written off since their lease ran out.
+    /// Runs given up because their lease ran out.
     pub lapsed: u64,
     /// Runs taken over from a former owner.
     pub adopted: u64,
-    /// Runs under which a worker has crashed.
+    /// Runs noted as possible causes of a crash that was then proved.
     pub crashes: u64,
-    /// Other lives found under the id of a worker.
+    /// Other lives that answered under the id of a worker.
     pub other_lives: u64,
-    /// Lives that answered again after a later one of the same id.
+    /// Former lives that answered again after a later one, which shows that two workers have one
+    /// id.
     pub rival_lives: u64,
-    /// Lives of which some ends were forgotten before anybody had read them.
+    /// Lives that had forgotten ends before an owner had read them.
     pub unread_ends: u64,
 }
 
-/// How many workers there are, and how they stand.
+/// Numbers of workers by state, for metrics.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WorkerCounts {
-    /// All that are known.
+    /// All known workers.
     pub known: usize,
-    /// Those that have answered under this epoch.
+    /// Workers that have answered under this owner's epoch.
     pub answered: usize,
-    /// Those whose last call brought no answer.
+    /// Workers whose last call was not answered.
     pub silent: usize,
-    /// Those that are parked.
+    /// Parked workers.
     pub parked: usize,
 }
 
-/// A time that a job has waited, for metrics.
+/// How long a job took to reach a milestone, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wait {
-    /// What it waited for.
+    /// The milestone that the job reached.
     pub until: Milestone,
-    /// The priority of its queue.
+    /// The priority of the job's queue.
     pub priority: u32,
-    /// How long, since the job was taken in.
+    /// The time since this owner took the job in, in milliseconds.
     pub time: Millis,
 }
 
-/// What a job has waited for.
+/// A milestone of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Milestone {
-    /// Its first start.
+    /// The first start of one of its tasks that a worker has confirmed.
     FirstStart,
-    /// Its end.
+    /// Its end, once that is recorded.
     End,
 }
 
-/// The state of one cell in the hands of its owner.
+/// The state of one cell, as held by its owner.
 pub struct Cell {
+    /// The epoch of this ownership; workers refuse orders of lower ones.
     epoch: u64,
+    /// The last run number that was assigned.
     last_run_number: u64,
-    /// The newest sequence number that was given.
+    /// The last sequence number that was assigned.
     sequence: Sequence,
     config: Arc<Configuration>,
     policy: Arc<dyn Policy>,
     workers: SlotMap<WorkerKey, Worker>,
+    /// The present life of each worker, by the worker's id.
     worker_ids: IndexMap<String, WorkerKey>,
-    /// Rises whenever the roster changes: the workers that a successor must know of.
+    /// Rises with each change of the roster, the record of the workers that a successor must know
+    /// of.
     roster_version: u64,
-    /// The ids of workers whose entries in it have changed and were not handed on to be recorded.
+    /// The ids of workers whose roster entries have changed since changes were last taken to be
+    /// recorded.
     roster_changes: IndexSet<String>,
-    /// The version of the roster that is recorded.
+    /// The version of the roster that is durable.
     recorded_roster_version: u64,
     jobs: SlotMap<JobKey, Job>,
     job_ids: IndexMap<JobId, JobKey>,
     /// Jobs that ended under a former owner.
     ended: IndexMap<JobId, EndedJob>,
-    /// Recorded progress of jobs whose rows could not be read yet.
+    /// Recorded progress of jobs whose own rows could not be read yet.
     unread_job_progress: IndexMap<JobId, record::JobProgress>,
-    /// Ends that other nodes told of, of jobs whose rows were not read yet.
+    /// Ends of jobs whose rows could not be read yet, as reported by other nodes.
     early_ends: IndexMap<JobId, JobState>,
-    /// What must be known of the lives of a worker that is not there, by its id.
+    /// The former lives of workers that are not in `workers` any more, by worker id.
     former_lives: IndexMap<String, FormerLives>,
-    /// Runs that may have crashed a life of a worker.
+    /// Losses by life of which it is not known yet whether they crashed that life.
     pending_losses: IndexMap<Life, crash::PendingLosses>,
-    /// Starts whose worker was lost before it was known whether it had carried them out.  Their runs
-    /// may be gone, and others have their places.
+    /// Starts whose worker was lost before it was known whether it had carried them out.  Their
+    /// runs may have been removed by now, and other runs started in their place.
     awaiting_verdict: BTreeMap<RunKey, crash::LossKey>,
-    /// Runs whose start is recorded before it is sent.
+    /// Runs whose start is being recorded before it is sent.
     planned: Vec<RunKey>,
-    /// Starts of jobs that a former owner knew may be forgotten.
+    /// A former owner may have started tasks, of jobs that it knew, without recording that.
     may_have_unrecorded_starts: bool,
-    /// Lives that are over and stay in the roster until what is noted of them is recorded.
+    /// Lives that have ended, and that stay in the roster until what was noted about them is
+    /// recorded.
     ended_lives: Vec<lost::EndedLife>,
+    /// The rows of some jobs could not be read yet, so runs of unknown jobs may belong to this
+    /// cell.
     has_unread_jobs: bool,
-    /// Jobs that run at set times and have not ended.
+    /// Scheduled jobs that have not ended.
     scheduled: Vec<JobKey>,
     steps: SlotMap<StepKey, StepRun>,
     runs: SlotMap<RunKey, Run>,
-    /// Processors that the runs of each queue hold, in millicores.
+    /// The processors that the runs of each queue hold, in millicores, by the queue's name.
     held_millicores: BTreeMap<String, u64>,
-    /// What each workspace has running.
+    /// The room that the runs of each workspace hold.
     ledger: Ledger,
-    /// Steps that are not done, in the order in which they were taken in.
+    /// Steps with unfinished tasks, in the order in which they were added.
     open_steps: Vec<StepKey>,
-    /// Which lanes to the advice service are in use by which kind of question.
+    /// The lanes to the advice service, each with the kind of question that it carries at present.
     lanes: Vec<advice::Lane>,
-    /// How far callers' guesses are off, by queue.
+    /// How far callers' estimates of run times are off, by the queue's name.
     guesses: BTreeMap<String, progress::EstimateError>,
-    /// The share of workers that is good for a step, learned by queue.
+    /// The share of workers that the advice service approves for a step, learned by queue.
     good_share: BTreeMap<String, f64>,
-    /// Milliseconds since 1970, once told.
+    /// The Unix time in milliseconds; none until it has been passed in.
     unix_time: Option<Millis>,
-    /// The platform's list of workers has not come yet, so nothing is placed: a worker of the
-    /// roster may be about to leave, or be gone.
+    /// The platform's list of workers has not arrived yet.  Until then no task is placed, since a
+    /// worker of the roster may be about to leave, or be gone.
     awaits_worker_list: bool,
-    /// Halls in which nothing starts; none while they are not known, and then nothing is placed.
+    /// Evacuated data halls, in which nothing is started.  `None` while they are not known; until
+    /// then no task is placed.
     evacuated_halls: Option<Arc<Halls>>,
-    /// So many idle workers of each service stay awake.
+    /// How many idle workers of each service are kept unparked.
     idle_reserve: usize,
     /// How many workers are parked.
     parked: usize,
-    /// When it was last looked whether workers are to be parked or woken.
+    /// When it was last reviewed which workers to park or unpark.
     parking_reviewed: Millis,
-    /// Workers that were woken, or were lost while they were parked.
+    /// Workers that were unparked, or lost while they were parked, since this was last taken.
     unparked: Vec<WorkerKey>,
-    /// The former owner's roster was read whole.
+    /// The former owner's roster was read completely.
     roster_is_complete: bool,
-    /// Tasks of former owners' jobs may start.
+    /// The ownership is settled: tasks of jobs that a former owner knew may start.
     settled: bool,
-    /// Until then, what a former owner may have left running.
+    /// Until the ownership is settled, the jobs that a former owner may have left running.
     unsettled: roster::UnsettledJobs,
+    /// When the ownership is settled at the latest, unless a worker may have the longest lease.
     settle_deadline: Millis,
+    /// Orders that have not been taken yet.
     orders: Vec<Order>,
+    /// Waiting times that have not been taken yet.
     job_waits: Vec<Wait>,
-    /// What waited for what in the last round of decisions.
+    /// What each waiting step waited for in the last scheduling round.
     waiting: Waiting,
     counts: Counts,
 }
 
 impl Cell {
-    /// Begins an ownership of the cell at `now` under `epoch`.
+    /// Creates the state for an ownership of the cell that begins at `now` under `epoch`.
     pub fn new(epoch: u64, config: Arc<Configuration>, now: Millis) -> Self {
         let window = tuning::LEASE + tuning::LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000;
         Self {
@@ -275,27 +289,27 @@
         }
     }
 
-    /// What was done so far.
+    /// Returns the counts of what was done so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// What waited for what in the last round of decisions.
+    /// Returns what each waiting step waited for in the last scheduling round.
     pub fn waiting(&self) -> &Waiting {
         &self.waiting
     }
 
-    /// Takes the orders that have gathered.
+    /// Takes the orders given since the last call.
     pub fn take_orders(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.orders)
     }
 
-    /// Takes the waiting times that have gathered.
+    /// Takes the waiting times recorded since the last call.
     pub fn take_waits(&mut self) -> Vec<Wait> {
         std::mem::take(&mut self.job_waits)
     }
 
-    /// Notes how long a job has waited.
+    /// Records how long a job took to reach a milestone.
     fn record_wait(&mut self, key: JobKey, until: Milestone, now: Millis) {
         let job = &self.jobs[key];
         self.job_waits.push(Wait {
@@ -305,7 +319,8 @@
         });
     }
 
-    /// Tells how far a job is; an end counts once it is recorded or another node knows of it.
+    /// Returns the state of a job; none if it is not known.  An end is shown only once it is
+    /// recorded or another node knows of it.
     pub fn state(&self, id: JobId) -> Option<JobState> {
         let ended = self.ended.get(&id).map(|job| job.state);
         if let Some(state) = ended.or(self.early_ends.get(&id).copied()) {
@@ -323,7 +338,7 @@
         })
     }
 
-    /// Tells whether a caller may see and cancel a job, or it is not known whose it is.
+    /// Returns whether a caller may see and cancel a job.  Also true for a job that is not known.
     pub fn may_see(&self, caller: &Caller, id: JobId) -> bool {
         if let Some(ended) = self.ended.get(&id) {
             return caller.may_see(ended.workspace.as_deref());
@@ -335,14 +350,15 @@
         caller.may_see(workspace.map(|workspace| workspace.name.as_str()))
     }
 
-    /// The name of a job's workspace, if it has one and has not ended under a former owner.
+    /// Returns the name of a job's workspace; none if the job has no workspace, is not known, or
+    /// ended under a former owner.
     pub fn workspace_name(&self, id: JobId) -> Option<String> {
         let workspace = self.workspace_of(*self.job_ids.get(&id)?)?;
         Some(workspace.name.clone())
     }
 
-    /// Tells whether a job may end at any moment: nothing of it waits to start, or its end is
-    /// decided and not shown yet.
+    /// Returns whether a job may end at any moment: all its remaining tasks have started, or its
+    /// end is decided and not shown yet.
     pub fn may_end_soon(&self, id: JobId) -> bool {
         let Some(job) = self.job_ids.get(&id).and_then(|&key| self.jobs.get(key)) else {
             return false;
@@ -362,7 +378,7 @@
         job.spec.schedule.is_none() && steps.into_iter().all(is_under_way)
     }
 
-    /// Tells whether the end of a job is recorded.
+    /// Returns whether the end of a job is recorded.
     pub fn is_end_recorded(&self, id: JobId) -> bool {
         let recorded = |key| {
             self.jobs
@@ -372,12 +388,12 @@
         self.ended.contains_key(&id) || self.job_ids.get(&id).is_some_and(|&key| recorded(key))
     }
 
-    /// Tells whether a job is known, ended ones included.
+    /// Returns whether a job is known, ended ones included.
     pub fn knows_job(&self, id: JobId) -> bool {
         self.job_ids.contains_key(&id) || self.ended.contains_key(&id)
     }
 
-    /// Counts by queue the accepted jobs of which nothing has begun.
+    /// Counts the accepted jobs of which nothing has started, by the queue's name.
     pub fn pending(&self) -> BTreeMap<String, u32> {
         let mut pending = BTreeMap::new();
         for job in self.jobs.values() {
@@ -388,12 +404,12 @@
         pending
     }
 
-    /// All workers that are known.
+    /// Returns the keys of all known workers.
     pub fn worker_keys(&self) -> Vec<WorkerKey> {
         self.workers.keys().collect()
     }
 
-    /// How many workers there are, and how they stand.
+    /// Counts the workers by state.
     pub fn count_workers(&self) -> WorkerCounts {
         let mut counts = WorkerCounts::default();
         for worker in self.workers.values() {
@@ -405,7 +421,7 @@
         counts
     }
 
-    /// The room that tasks hold, and all that there is.
+    /// Returns the room that runs take up, and the whole room of all workers.
     pub fn room(&self) -> (Demand, Demand) {
         let (mut used, mut capacity) = (Demand::default(), Demand::default());
         for worker in self.workers.values() {
@@ -415,7 +431,7 @@
         (used, capacity)
     }
 
-    /// A newer configuration is in force.
+    /// Applies a newer configuration, also to jobs that wait.
     pub fn configure(&mut self, config: Arc<Configuration>) {
         self.config = config;
         self.ledger.configure(&self.config);
@@ -431,7 +447,7 @@
         }
     }
 
-    /// A newer policy is in force, also for jobs that wait.
+    /// Applies a newer policy, also to jobs that wait.
     pub fn set_policy(&mut self, policy: Arc<dyn Policy>) {
         self.policy = policy;
         for job in self.jobs.values_mut() {
@@ -439,7 +455,7 @@
         }
     }
 
-    /// Time passes: leases run out, stops are repeated, ownership settles.
+    /// Does what is due at `now`: leases run out, stops are repeated, the ownership settles.
     pub fn tick(&mut self, now: Millis) {
         self.settle(now);
         self.review_parking(now);
@@ -455,6 +471,7 @@
         self.repeat_stops(now);
     }
 
+    /// Does what is due on a worker that is silent or leaving.
     fn tick_worker(&mut self, key: WorkerKey, now: Millis) {
         self.stop_runs_outlasting_worker(key, now);
         self.note_suspects_of_silent(key, now);
@@ -473,14 +490,14 @@
         self.counts.lapsed += worker.runs.len() as u64;
         self.write_off(key, now);
         let worker = &self.workers[key];
-        let told = !worker.has_unrecorded_ends();
-        if worker.unlisted_since.is_some() && self.settled && told {
+        let is_recorded = !worker.has_unrecorded_ends();
+        if worker.unlisted_since.is_some() && self.settled && is_recorded {
             self.lose_worker(key, now, LostBy::Silence);
         }
     }
 
-    /// Addresses a life of a worker under an epoch of its own, so that the next life refuses what
-    /// was meant for this one.
+    /// Addresses the present life of a worker, under an epoch that rises with each life so that
+    /// this life refuses orders meant for a former one.
     fn addressee(&self, key: WorkerKey) -> Addressee {
         let worker = &self.workers[key];
         Addressee {
@@ -491,14 +508,15 @@
         }
     }
 
-    /// Says how to look at a worker next; none if it is gone.
+    /// Prepares the next look at a worker; none if the worker is gone.
     pub fn look_order(&mut self, key: WorkerKey, now: Millis) -> Option<PollOrder> {
         let sequence = self.next_sequence();
         let look_wait = self.look_wait();
         let worker = self.workers.get(key)?;
         let ends = worker.next_forget(now);
-        let waits = ends != NextForget::Deferred && worker.seen_end == worker.recorded_end;
-        let lasting_silence = worker.has_uncertain_life() || !worker.has_recent_clock(now);
+        let may_wait = ends != NextForget::Deferred && worker.seen_end == worker.recorded_end;
+        // Such a look renews no lease and does not wait for an end.
+        let is_probe = worker.has_uncertain_life() || !worker.has_recent_clock(now);
         let order = PollOrder {
             to: self.addressee(key),
             sequence,
@@ -508,14 +526,10 @@
                 NextForget::Nothing | NextForget::Deferred => 0,
             },
             due: match worker.clock_at(now) {
-                Some(clock) if !lasting_silence && !worker.sealed => Some(clock + tuning::LEASE),
+                Some(clock) if !is_probe && !worker.sealed => Some(clock + tuning::LEASE),
                 _ => None,
             },
-            wait: if lasting_silence || !waits {
-                0
-            } else {
-                look_wait
-            },
+            wait: if is_probe || !may_wait { 0 } else { look_wait },
         };
         let worker = &mut self.workers[key];
         worker.forget_deferred = ends == NextForget::Deferred;
@@ -525,27 +539,30 @@
         Some(order)
     }
 
-    /// How long a look waits at a worker for an end: the more workers, the longer.
+    /// Returns how long a look waits at a worker for an end.  It grows with the number of unparked
+    /// workers, up to `MAX_POLL_WAIT`, to keep looks without news below `MAX_IDLE_POLLS_PER_SECOND` a second.
     fn look_wait(&self) -> Millis {
         let workers = (self.workers.len() - self.parked) as Millis;
         let wait = workers * 1_000 / tuning::MAX_IDLE_POLLS_PER_SECOND;
         wait.clamp(tuning::POLL_WAIT, tuning::MAX_POLL_WAIT)
     }
 
-    /// Tells whether ends of this worker wait to be recorded; it would list them again at once.
+    /// Returns whether ends of a worker wait to be recorded.  A look would return at once, with the
+    /// same ends.
     pub fn has_ends_to_record(&self, key: WorkerKey) -> bool {
         let worker = self.workers.get(key);
         worker.is_some_and(|worker| worker.seen_end > worker.recorded_end)
     }
 
-    /// Tells whether ends of this worker wait for their jobs to be read; it would list them
-    /// again at once.
+    /// Returns whether ends of a worker wait for their jobs to be read.  A look would return at
+    /// once, with the same ends.
     pub fn holds_ends(&self, key: WorkerKey) -> bool {
         self.workers
             .get(key)
             .is_some_and(|worker| worker.holds_ends)
     }
 
+    /// Orders a worker to stop a run; `run` is none if the run belongs to no known job.
     fn order_stop(
         &mut self,
         worker: WorkerKey,
