--- a/src/cell/look.rs
+++ b/src/cell/look.rs
@@ -22,7 +22,7 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        if order.sequence < worker.look_sent {
+        if order.sequence < worker.last_poll {
             // A later look was answered first; whatever matters here is told again.
             return;
         }
@@ -36,7 +36,7 @@
         if newest {
             worker.clear_listed_state();
         }
-        worker.look_sent = order.sequence;
+        worker.last_poll = order.sequence;
         worker.forgotten_end = worker.forgotten_end.max(order.forget);
         worker.list_heard = heard;
         worker.heard = now;
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -199,7 +199,7 @@
     /// The lanes to the advice service, each with the kind of question that it carries at present.
     lanes: Vec<advice::Lane>,
     /// How far callers' estimates of run times are off, by the queue's name.
-    guesses: BTreeMap<String, progress::EstimateError>,
+    estimate_errors: BTreeMap<String, progress::EstimateError>,
     /// The share of workers that the advice service approves for a step, learned by queue.
     good_share: BTreeMap<String, f64>,
     /// The Unix time in milliseconds; none until it has been passed in.
@@ -269,7 +269,7 @@
             ledger: Ledger::default(),
             open_steps: Vec::new(),
             lanes: Vec::new(),
-            guesses: BTreeMap::new(),
+            estimate_errors: BTreeMap::new(),
             good_share: BTreeMap::new(),
             unix_time: None,
             awaits_worker_list: false,
@@ -509,9 +509,9 @@
     }
 
     /// Prepares the next look at a worker; none if the worker is gone.
-    pub fn look_order(&mut self, key: WorkerKey, now: Millis) -> Option<PollOrder> {
+    pub fn poll_order(&mut self, key: WorkerKey, now: Millis) -> Option<PollOrder> {
         let sequence = self.next_sequence();
-        let look_wait = self.look_wait();
+        let poll_wait = self.poll_wait();
         let worker = self.workers.get(key)?;
         let ends = worker.next_forget(now);
         let may_wait = ends != NextForget::Deferred && worker.seen_end == worker.recorded_end;
@@ -529,7 +529,7 @@
                 Some(clock) if !is_probe && !worker.sealed => Some(clock + tuning::LEASE),
                 _ => None,
             },
-            wait: if is_probe || !may_wait { 0 } else { look_wait },
+            wait: if is_probe || !may_wait { 0 } else { poll_wait },
         };
         let worker = &mut self.workers[key];
         worker.forget_deferred = ends == NextForget::Deferred;
@@ -541,7 +541,7 @@
 
     /// Returns how long a look waits at a worker for an end.  It grows with the number of unparked
     /// workers, up to `MAX_POLL_WAIT`, to keep looks without news below `MAX_IDLE_POLLS_PER_SECOND` a second.
-    fn look_wait(&self) -> Millis {
+    fn poll_wait(&self) -> Millis {
         let workers = (self.workers.len() - self.parked) as Millis;
         let wait = workers * 1_000 / tuning::MAX_IDLE_POLLS_PER_SECOND;
         wait.clamp(tuning::POLL_WAIT, tuning::MAX_POLL_WAIT)
--- a/src/cell/progress.rs
+++ b/src/cell/progress.rs
@@ -131,7 +131,7 @@
             return Some(elsewhere);
         }
         let queue = &self.jobs[step.job].queue.name;
-        let guesses = self.guesses.get(queue)?;
+        let guesses = self.estimate_errors.get(queue)?;
         let enough = guesses.seen >= tuning::MIN_ESTIMATE_SAMPLES;
         let longest = step.step().estimate.max(1) as f64 * guesses.worst;
         enough.then_some(100_000.0 / longest)
@@ -146,7 +146,7 @@
         }
         let took = now.saturating_sub(run.began_at) as f64 / estimate as f64;
         let queue = self.jobs[step.job].queue.name.clone();
-        let guesses = self.guesses.entry(queue).or_default();
+        let guesses = self.estimate_errors.entry(queue).or_default();
         guesses.seen += 1;
         guesses.worst = took.max(guesses.worst * tuning::ESTIMATE_ERROR_DECAY);
     }
--- a/src/cell/roster.rs
+++ b/src/cell/roster.rs
@@ -286,17 +286,17 @@
     }
 
     /// Returns whether tasks of a step must wait, since runs that a former owner started may still
-    /// be going on, or may have ended unnoticed.  `awaiting_look` comes from
-    /// [`Cell::jobs_awaiting_look`].
-    pub(super) fn is_unsettled(&self, step: &StepRun, awaiting_look: &UnsettledJobs) -> bool {
+    /// be going on, or may have ended unnoticed.  `awaiting_poll` comes from
+    /// [`Cell::jobs_awaiting_poll`].
+    pub(super) fn is_unsettled(&self, step: &StepRun, awaiting_poll: &UnsettledJobs) -> bool {
         let id = step.name.job;
         let predates = self.jobs[step.job].predates;
-        predates && (self.unsettled.contains(id) || awaiting_look.contains(id))
+        predates && (self.unsettled.contains(id) || awaiting_poll.contains(id))
     }
 
     /// Returns the jobs of which some worker listed runs or ends before they had been read, or may
     /// have ends that did not fit into its list yet: the next look at that worker brings them.
-    pub(super) fn jobs_awaiting_look(&self) -> UnsettledJobs {
+    pub(super) fn jobs_awaiting_poll(&self) -> UnsettledJobs {
         let mut jobs = BTreeSet::new();
         for worker in self.workers.values() {
             if worker.more_ends && !worker.listed_whole {
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -43,14 +43,14 @@
         // A start that is dropped now waits again, so that is done before it is asked what waits.
         self.send_planned(now);
         let mut order: Vec<(u32, Millis, usize, StepKey)> = Vec::new();
-        let awaiting_look = self.jobs_awaiting_look();
+        let awaiting_poll = self.jobs_awaiting_poll();
         for (place, &key) in self.open_steps.iter().enumerate() {
             let step = &self.steps[key];
             if !step.ready {
                 continue;
             }
             let job = &self.jobs[step.job];
-            if !job.queue_configured || self.is_unsettled(step, &awaiting_look) {
+            if !job.queue_configured || self.is_unsettled(step, &awaiting_poll) {
                 continue;
             }
             // Of most steps all tasks run, and a rank takes a look at the whole job.
--- a/src/cell/view.rs
+++ b/src/cell/view.rs
@@ -161,7 +161,7 @@
         if !job.queue_configured {
             return WaitReason::NoQueue;
         }
-        if self.is_unsettled(step, &self.jobs_awaiting_look()) {
+        if self.is_unsettled(step, &self.jobs_awaiting_poll()) {
             return WaitReason::Settling;
         }
         if let Some(limit) = self.exceeded_limit(key, step.step().tasks_at_once()) {
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -97,7 +97,7 @@
     /// When it last answered a look.
     pub heard: Millis,
     /// The latest look whose answer was processed; looks may overtake each other.
-    pub look_sent: Sequence,
+    pub last_poll: Sequence,
     /// When an answer was last processed: an answer to a look sent before that may be the older
     /// one.
     pub list_heard: Sequence,
@@ -181,7 +181,7 @@
             fenced: false,
             reported_born: None,
             heard: 0,
-            look_sent: Sequence::default(),
+            last_poll: Sequence::default(),
             list_heard: Sequence::default(),
             silent_since: None,
             leaving_since: None,
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -248,7 +248,7 @@
             if place as Millis % turns != turn {
                 continue;
             }
-            let Some(order) = self.cell.look_order(key, self.now) else {
+            let Some(order) = self.cell.poll_order(key, self.now) else {
                 continue;
             };
             match worker.look(&order, self.now) {
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -153,7 +153,7 @@
     /// Looks at a worker once; the look may wait for an end, but no longer than `longest`.
     async fn look(&self, key: WorkerKey, longest: Duration) -> Looked {
         let sent = self.shared.now();
-        let Some(mut order) = self.cell().look_order(key, sent) else {
+        let Some(mut order) = self.cell().poll_order(key, sent) else {
             return Looked::Gone;
         };
         order.wait = order.wait.min(longest.as_millis() as Millis);
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -723,7 +723,7 @@
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     let start = bench.start_all().remove(0);
     let key = bench.worker(0);
-    let order = bench.cell.look_order(key, bench.now + 1);
+    let order = bench.cell.poll_order(key, bench.now + 1);
     let order = order.expect("a known worker");
     let overtaken = PollReport {
         born: None,
@@ -794,7 +794,7 @@
     // Act.
     bench.hear(worker, &look);
     bench.record();
-    let forgotten = bench.cell.look_order(worker, bench.now).map(|o| o.forget);
+    let forgotten = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
     bench.cell.accept(&row, None, true, bench.now);
     bench.cell.set_incomplete(false);
     bench.now += 10;
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -297,7 +297,7 @@
 
     /// Looks at one worker, which answers at once.
     pub fn hear(&mut self, key: WorkerKey, look: &PollReport) {
-        let order = self.cell.look_order(key, self.now);
+        let order = self.cell.poll_order(key, self.now);
         let order = order.expect("a known worker");
         self.cell.look_answered(&order, look, self.now);
     }
--- a/tests/crashing_tasks.rs
+++ b/tests/crashing_tasks.rs
@@ -201,7 +201,7 @@
 
     fn look(&mut self) {
         for key in self.cell.worker_keys() {
-            let Some(order) = self.cell.look_order(key, self.now) else {
+            let Some(order) = self.cell.poll_order(key, self.now) else {
                 continue;
             };
             let answer = match self.workers.get_mut(&order.to.life.id) {
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -256,7 +256,7 @@
     bench.pass(20_000);
 
     // Act.
-    let order = bench.cell.look_order(worker, bench.now);
+    let order = bench.cell.poll_order(worker, bench.now);
     let due = order.and_then(|order| order.due);
 
     // Assert: by the worker's clock it would end later than we count.
--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -112,7 +112,7 @@
     fn look(&mut self) {
         self.now += STEP;
         for key in self.cell.worker_keys() {
-            let order = self.cell.look_order(key, self.now);
+            let order = self.cell.poll_order(key, self.now);
             let Some(order) = order else {
                 // It went with another one.
                 continue;
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -400,7 +400,7 @@
     bench.pass(10);
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     let started = starts(&bench.decide());
-    let look = bench.cell.look_order(only, bench.now).expect("a look");
+    let look = bench.cell.poll_order(only, bench.now).expect("a look");
 
     // Assert.
     assert_eq!(told.within.len(), 1);
--- a/tests/late_entries.rs
+++ b/tests/late_entries.rs
@@ -53,7 +53,7 @@
     let now = bench.now;
     let mut keys = bench.cell.worker_keys().into_iter();
     keys.find_map(|key| {
-        let order = bench.cell.look_order(key, now)?;
+        let order = bench.cell.poll_order(key, now)?;
         (order.to.life.id == id).then_some(order)
     })
 }
--- a/tests/late_lists.rs
+++ b/tests/late_lists.rs
@@ -24,7 +24,7 @@
 /// Sends a look to the one worker.
 fn send_look(bench: &mut Bench) -> PollOrder {
     let worker = bench.worker(0);
-    let order = bench.cell.look_order(worker, bench.now);
+    let order = bench.cell.poll_order(worker, bench.now);
     order.expect("a known worker")
 }
 
--- a/tests/listed_lives.rs
+++ b/tests/listed_lives.rs
@@ -31,7 +31,7 @@
     let now = bench.now;
     let mut keys = bench.cell.worker_keys().into_iter();
     keys.find(|&key| {
-        let order = bench.cell.look_order(key, now);
+        let order = bench.cell.poll_order(key, now);
         order.is_some_and(|order| order.to.life.id == id)
     })
 }
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -228,7 +228,7 @@
     /// Looks at all workers, which answer at once.
     pub fn look_at_all(&mut self) {
         for key in self.cell.worker_keys() {
-            if let Some(order) = self.cell.look_order(key, self.now) {
+            if let Some(order) = self.cell.poll_order(key, self.now) {
                 self.answer_look(&order);
             }
         }
--- a/tests/look_times.rs
+++ b/tests/look_times.rs
@@ -20,7 +20,7 @@
     let mut bench = Bench::with(cell, 1_000);
     bench.look_at_all();
     let key = bench.worker(0);
-    let order = bench.cell.look_order(key, bench.now);
+    let order = bench.cell.poll_order(key, bench.now);
     order.expect("a worker").wait
 }
 
--- a/tests/outlived_starts.rs
+++ b/tests/outlived_starts.rs
@@ -50,7 +50,7 @@
     bench.look_at(other);
 
     // Act: the second one answers a held look long after its start, and is lost then.
-    let held = bench.cell.look_order(other, bench.now);
+    let held = bench.cell.poll_order(other, bench.now);
     let held = held.expect("it is there");
     let second = unanswered_start(&mut bench);
     assert_eq!(second.to.worker, other);
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -58,7 +58,7 @@
 fn starts_after_one_answer(bench: &mut Bench) -> usize {
     let keys = bench.cell.worker_keys();
     let other = keys.into_iter().find(|&key| {
-        let order = bench.cell.look_order(key, bench.now);
+        let order = bench.cell.poll_order(key, bench.now);
         order.is_some_and(|order| order.to.life.id == "w1")
     });
     bench.hear_of(other.expect("the worker"), Vec::new(), Vec::new());
@@ -156,7 +156,7 @@
     // Act: the end is listed before the time has come here.
     bench.hear_of(worker, Vec::new(), ends());
     bench.record();
-    let forget = bench.cell.look_order(worker, bench.now).map(|o| o.forget);
+    let forget = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
     bench.cell.set_wall_clock(10_100);
     bench.pass(10);
     if forget == Some(0) {
@@ -263,7 +263,7 @@
     let ends = vec![end(1, KNOWN, 5, EndKind::Stopped, "saved")];
     bench.hear_of(worker, Vec::new(), ends);
     let batch = bench.record();
-    let forget = bench.cell.look_order(worker, bench.now).map(|o| o.forget);
+    let forget = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
 
     // Assert.
     let tasks = batch.rows.iter().flat_map(|(_, _, row)| &row.tasks);
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -116,7 +116,7 @@
 
     /// Sends a look, also when others are on their way.
     pub(super) fn send_look(&mut self, key: WorkerKey, waits: bool) {
-        let Some(order) = self.owner.cell.look_order(key, self.now) else {
+        let Some(order) = self.owner.cell.poll_order(key, self.now) else {
             return;
         };
         self.owner.keys.insert(order.to.life.id.clone(), key);
--- a/tests/unread_jobs.rs
+++ b/tests/unread_jobs.rs
@@ -88,7 +88,7 @@
     let started = starts(&bench.decide());
     bench.record();
     let worker = bench.worker(0);
-    let forgotten = bench.cell.look_order(worker, bench.now).map(|o| o.forget);
+    let forgotten = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
 
     // Assert.
     assert!(started.is_empty(), "its task is done: {started:?}");
--- a/tests/worker_lives.rs
+++ b/tests/worker_lives.rs
@@ -258,14 +258,14 @@
     // Arrange
     let mut site = site_with_recorded_ends();
     let key = site.cell.worker_keys()[0];
-    let before = site.cell.look_order(key, site.now).expect("a worker");
+    let before = site.cell.poll_order(key, site.now).expect("a worker");
 
     // Act: the worker starts again unnoticed, and a start goes there before any look.
     site.end_life(0);
     site.begin_life(0);
     let id = site.submit(300, vec![step(1, 1_000)]);
     site.decide();
-    let after = site.cell.look_order(key, site.now).expect("a worker");
+    let after = site.cell.poll_order(key, site.now).expect("a worker");
 
     // Assert
     assert_eq!(site.going(id), 1);
@@ -286,7 +286,7 @@
     site.cell.list_worker(entry.clone(), site.now);
     let id = site.submit(300, vec![step(1, 1_000)]);
     site.decide();
-    let look = site.cell.look_order(key, site.now).expect("a worker");
+    let look = site.cell.poll_order(key, site.now).expect("a worker");
 
     // Assert
     assert_eq!(site.going(id), 0);
@@ -320,7 +320,7 @@
         }
     }
     site.now += 100;
-    let look = site.cell.look_order(key, site.now).expect("a worker");
+    let look = site.cell.poll_order(key, site.now).expect("a worker");
     site.answer_look(&look);
 
     // Act: the third life is there before anything else was heard of the second one.
