--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -37,9 +37,9 @@
 /// The CPU time that owning a cell of several hundred workers takes at its peak, in thousandths of
 /// a core: 350 workers take 200 under ordinary load.
 const OWNER_MILLICORES: u32 = 250;
-/// The longest time, in milliseconds, by which a node with less CPU time to spend than that delays its
-/// claim.  All nodes of a site start within 300 ms, and those that start first do not know the
-/// others yet.
+/// The longest time, in milliseconds, by which a node that can spend less than [`OWNER_MILLICORES`]
+/// delays its claim.  All nodes of a site start within 300 ms, and those that start first do not
+/// know the others yet.
 const MAX_WEAKNESS_DELAY: Millis = 500;
 /// An owner gives the cell up to a node that has at least this many times its strength.
 const STRENGTH_RATIO: u32 = 2;
@@ -222,14 +222,16 @@
         return;
     };
     engine.set_lanes();
-    if is_stronger_node_available(shared, &engine, shared.now()) {
+    if should_yield(shared, &engine, shared.now()) {
         shared.metrics.event("cell_yielded");
         give_up(shared, YIELD_TIMEOUT, "another node is stronger").await;
     }
 }
 
-/// Tells whether another node that could claim the cell is far stronger than this one.
-fn is_stronger_node_available(shared: &Shared, engine: &Engine, now: Millis) -> bool {
+/// Tells whether this owner should give the cell up, since another node that could claim it is far
+/// stronger.  Not before [`MIN_TERM`] has passed, and not while this node does not reach the store
+/// or the store is slow, as the release could not be written quickly then.
+fn should_yield(shared: &Shared, engine: &Engine, now: Millis) -> bool {
     let may_be_released = shared.reaches_store() && !shared.store_is_slow();
     if now.saturating_sub(engine.since) < MIN_TERM || !may_be_released {
         return false;
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -24,8 +24,8 @@
 /// gives the cell up.
 const REMAINING_LEASES_KEY: &str = "lapses";
 
-/// The least time between two transactions.  Each transaction has a cost, and this pause
-/// is short enough that callers hardly notice it.
+/// The least time between two transactions.  Each transaction has a cost, and this pause is short
+/// enough that callers hardly notice it.
 const RECORD_PAUSE: Duration = Duration::from_millis(20);
 /// How often the recording loop checks the scheduling core when nothing has woken it.
 const RECORD_TICK: Duration = Duration::from_millis(200);
@@ -189,8 +189,8 @@
 
     /// Sends a transaction.  If its answer is late, marks the engine as stalled: job ends that wait
     /// to be recorded then go to other nodes in heartbeats, so that callers need not wait for a
-    /// slow store.  Urgent jobs have 0.9 s to spare, and a store that is 77 times slower takes 0.46
-    /// s for each answer.
+    /// slow store.  Urgent jobs have 0.9 s to spare, and a store that is 77 times slower takes
+    /// 0.46 s for each answer.
     async fn commit(&self, tx: Transaction) -> Result<StoreReply, StoreError> {
         let committing = self.shared.store(StoreCall::Commit(tx));
         tokio::pin!(committing);
