--- a/src/cell/life.rs
+++ b/src/cell/life.rs
@@ -58,7 +58,7 @@
     pub entry: WorkerEntry,
     /// When the entry was read.
     pub listed: Sequence,
-    /// The last look at its address was not answered, so the next one goes to the address of the
+    /// The last poll at its address was not answered, so the next one goes to the address of the
     /// present life.
     pub is_passed_over: bool,
 }
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -508,14 +508,14 @@
         }
     }
 
-    /// Prepares the next look at a worker; none if the worker is gone.
+    /// Prepares the next poll of a worker; none if the worker is gone.
     pub fn poll_order(&mut self, key: WorkerKey, now: Millis) -> Option<PollOrder> {
         let sequence = self.next_sequence();
         let poll_wait = self.poll_wait();
         let worker = self.workers.get(key)?;
         let ends = worker.next_forget(now);
         let may_wait = ends != NextForget::Deferred && worker.seen_end == worker.recorded_end;
-        // Such a look renews no lease and does not wait for an end.
+        // Such a poll renews no lease and does not wait for an end.
         let is_probe = worker.has_uncertain_life() || !worker.has_recent_clock(now);
         let order = PollOrder {
             to: self.addressee(key),
@@ -539,22 +539,23 @@
         Some(order)
     }
 
-    /// Returns how long a look waits at a worker for an end.  It grows with the number of unparked
-    /// workers, up to `MAX_POLL_WAIT`, to keep looks without news below `MAX_IDLE_POLLS_PER_SECOND` a second.
+    /// Returns how long a poll waits at a worker for an end.  It grows with the number of unparked
+    /// workers, up to `MAX_POLL_WAIT`, to keep polls without news below
+    /// `MAX_IDLE_POLLS_PER_SECOND`.
     fn poll_wait(&self) -> Millis {
         let workers = (self.workers.len() - self.parked) as Millis;
         let wait = workers * 1_000 / tuning::MAX_IDLE_POLLS_PER_SECOND;
         wait.clamp(tuning::POLL_WAIT, tuning::MAX_POLL_WAIT)
     }
 
-    /// Returns whether ends of a worker wait to be recorded.  A look would return at once, with the
+    /// Returns whether ends of a worker wait to be recorded.  A poll would return at once, with the
     /// same ends.
     pub fn has_ends_to_record(&self, key: WorkerKey) -> bool {
         let worker = self.workers.get(key);
         worker.is_some_and(|worker| worker.seen_end > worker.recorded_end)
     }
 
-    /// Returns whether ends of a worker wait for their jobs to be read.  A look would return at
+    /// Returns whether ends of a worker wait for their jobs to be read.  A poll would return at
     /// once, with the same ends.
     pub fn holds_ends(&self, key: WorkerKey) -> bool {
         self.workers
--- a/src/cell/parking.rs
+++ b/src/cell/parking.rs
@@ -1,9 +1,9 @@
 //! Parks idle workers.
 //!
-//! Nothing runs on a parked worker.  It is not looked at and not in the roster, so it costs neither
+//! Nothing runs on a parked worker.  It is not polled and not in the roster, so it costs neither
 //! the owner nor its successor anything.  The load of an owner thus depends on the work there is
 //! and on the size of the idle reserve, not on the number of workers ("Parked workers" in
-//! `docs/DESIGN.md`).
+//! `docs/DESIGN.md`).  Unparking a worker is also called waking it.
 
 use std::collections::BTreeMap;
 
@@ -34,7 +34,7 @@
         self.assume_unrecorded_starts();
     }
 
-    /// Takes the workers that are no longer parked, so that whoever looks at them goes on; each is
+    /// Takes the workers that are no longer parked, so that the caller polls them again; each is
     /// returned once.
     pub fn take_unparked(&mut self) -> Vec<WorkerKey> {
         std::mem::take(&mut self.unparked)
@@ -54,7 +54,7 @@
     }
 
     /// Parks and unparks workers by the same rule, at once.  Called for a new list of workers, all
-    /// of which would be looked at otherwise.
+    /// of which would be polled otherwise.
     pub(super) fn adjust_parking(&mut self, now: Millis) {
         self.parking_reviewed = now;
         let mut services: BTreeMap<&str, IdleWorkers> = BTreeMap::new();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Unparks a worker: it is looked at again, and may be used once it is in the recorded roster.
+    /// Unparks a worker: it is polled again, and may be used once it is in the recorded roster.
     pub(super) fn unpark(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         if worker.parked {
@@ -154,7 +154,7 @@
         places.map(|(key, _)| key)
     }
 
-    /// Returns whether an unused worker could run tasks of a step.
+    /// Returns whether a parked worker, or one that was just unparked, could run tasks of a step.
     fn could_take(&self, key: WorkerKey, step: StepKey) -> bool {
         let (worker, step) = (&self.workers[key], &self.steps[step]);
         worker.allows(step.step(), &self.jobs[step.job].queue.service)
--- a/src/cell/roster.rs
+++ b/src/cell/roster.rs
@@ -295,7 +295,7 @@
     }
 
     /// Returns the jobs of which some worker listed runs or ends before they had been read, or may
-    /// have ends that did not fit into its list yet: the next look at that worker brings them.
+    /// have ends that did not fit into its list yet: the next poll of that worker brings them.
     pub(super) fn jobs_awaiting_poll(&self) -> UnsettledJobs {
         let mut jobs = BTreeSet::new();
         for worker in self.workers.values() {
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -37,12 +37,12 @@
     pub leaving: Option<Millis>,
 }
 
-/// Which ends the next look tells a worker to forget, that is, to drop from its list.
+/// Which ends the next poll tells a worker to forget, that is, to drop from its list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextForget {
     /// None: there are none to forget, or another life may answer.
     Nothing,
-    /// None yet: the answer must show first which life is there; the look after it may name some.
+    /// None yet: the answer must show first which life is there; the poll after it may name some.
     Deferred,
     /// All ends up to this number.
     UpTo(u64),
@@ -64,7 +64,7 @@
 pub struct Worker {
     /// The worker's entry in the platform's list.
     pub entry: WorkerEntry,
-    /// When this life became known: a look sent later is answered by a life that began no earlier.
+    /// When this life became known: a poll sent later is answered by a life that began no earlier.
     pub listed: Sequence,
     /// Another life of this id that the platform lists, and that has not answered yet.
     pub next: Option<NextLife>,
@@ -94,11 +94,11 @@
     /// The start time in its last answer under this owner's epoch, in Unix milliseconds; none if it
     /// reports none or has not answered yet.
     reported_born: Option<Millis>,
-    /// When it last answered a look.
+    /// When it last answered a poll.
     pub heard: Millis,
-    /// The latest look whose answer was processed; looks may overtake each other.
+    /// The latest poll whose answer was processed; polls may overtake each other.
     pub last_poll: Sequence,
-    /// When an answer was last processed: an answer to a look sent before that may be the older
+    /// When an answer was last processed: an answer to a poll sent before that may be the older
     /// one.
     pub list_heard: Sequence,
     /// Since when calls have not been answered; none if the last one was.
@@ -114,7 +114,7 @@
     pub long_lease_until: Millis,
     /// The roster says that something may run here under the longest lease.
     pub has_long_lease: bool,
-    /// It is an idle worker beyond the reserve, so it is neither looked at nor used.
+    /// It is an idle worker beyond the reserve, so it is neither polled nor used.
     pub parked: bool,
     /// When it was last unparked; zero if it never was.
     pub unparked_at: Millis,
@@ -139,9 +139,9 @@
     taken_ends: BTreeSet<u64>,
     /// The number up to which all ends are recorded, so that the worker may forget them.
     pub recorded_end: u64,
-    /// The number up to which it was told to forget them, by a look that it has answered.
+    /// The number up to which it was told to forget them, by a poll that it has answered.
     pub forgotten_end: u64,
-    /// The last look named no ends to forget, to find out first which life answers.
+    /// The last poll named no ends to forget, to find out first which life answers.
     pub forget_deferred: bool,
     /// It lists ends of jobs that could not be read yet.
     pub holds_ends: bool,
@@ -294,10 +294,10 @@
         }
     }
 
-    /// Returns which ends the next look may tell it to forget.
+    /// Returns which ends the next poll may tell it to forget.
     ///
     /// Another life would forget ends that nobody has read.  So this life must have answered within
-    /// `MIN_RESTART_TIME`, less time than a restart takes.  If it has not, one look without ends to
+    /// `MIN_RESTART_TIME`, less time than a restart takes.  If it has not, one poll without ends to
     /// forget is sent first; a second one is not, or an owner that is slow itself would never get
     /// to forget any.
     pub fn next_forget(&self, now: Millis) -> NextForget {
@@ -359,8 +359,8 @@
     /// Returns whether tasks may have been started here that this owner does not know of: by a
     /// former owner, or of jobs that could not be read yet.
     pub fn may_have_unknown_starts(&self) -> bool {
-        let is_unheard = !self.fenced && self.inherited.is_some();
-        is_unheard || self.has_unread_runs
+        let is_unreached = !self.fenced && self.inherited.is_some();
+        is_unreached || self.has_unread_runs
     }
 
     /// Returns whether a successor must know of this worker: something runs here or may soon be
