--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -476,7 +476,7 @@
         match self.worker_ids.get(&life.id).map(|&key| &self.workers[key]) {
             Some(worker) => worker.fenced && worker.entry.life.differs_from(life.born),
             None => self.workers.values().any(|worker| {
-                let heard = worker.fenced && worker.heard >= doubt.since;
+                let heard = worker.fenced && worker.last_heard >= doubt.since;
                 heard && worker.entry.machine == doubt.machine
             }),
         }
--- a/src/cell/look.rs
+++ b/src/cell/look.rs
@@ -32,14 +32,14 @@
         let worker = &mut self.workers[key];
         // Of two lists that were on their way at once either may be the older one: it must
         // neither bring back a run that has ended nor hide work that waits for its job.
-        let newest = worker.list_heard < order.sequence;
+        let newest = worker.last_answer < order.sequence;
         if newest {
             worker.clear_listed_state();
         }
         worker.last_poll = order.sequence;
         worker.forgotten_end = worker.forgotten_end.max(order.forget);
-        worker.list_heard = heard;
-        worker.heard = now;
+        worker.last_answer = heard;
+        worker.last_heard = now;
         worker.silent_since = None;
         worker.clock = Some((look.clock, now));
         let first = !worker.fenced;
@@ -86,7 +86,7 @@
                 if !worker.is_silent() {
                     tracing::info!(
                         worker = worker.entry.life.id,
-                        heard_ms_ago = now.saturating_sub(worker.heard),
+                        heard_ms_ago = now.saturating_sub(worker.last_heard),
                         ?failure,
                         "worker does not answer"
                     );
@@ -283,7 +283,7 @@
             number: entry.number,
             phase: Phase::Running,
             began_at: now,
-            start_heard: Some(self.workers[worker].list_heard),
+            start_heard: Some(self.workers[worker].last_answer),
             doubt_heard: None,
             crash_is_evidence: false,
             expires: 0,
@@ -298,7 +298,7 @@
     fn update_progress(&mut self, key: RunKey, entry: &RunningEntry, clock: Millis, now: Millis) {
         self.note_survival(key);
         let run = &mut self.runs[key];
-        run.confirm_started(self.workers[run.worker].list_heard, now);
+        run.confirm_started(self.workers[run.worker].last_answer, now);
         run.note_progress(entry.percent, clock, now);
         let (step, index) = (run.step, run.index);
         if !entry.saved.is_empty() && self.steps[step].tasks[index as usize].saved != entry.saved {
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -482,7 +482,7 @@
         if !worker.runs.is_empty() {
             tracing::info!(
                 worker = worker.entry.life.id,
-                heard_ms_ago = now.saturating_sub(worker.heard),
+                heard_ms_ago = now.saturating_sub(worker.last_heard),
                 runs = worker.runs.len(),
                 "lease ran out"
             );
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -471,7 +471,7 @@
         tracing::info!(
             worker = worker.entry.life.id,
             machine = worker.entry.machine,
-            heard_ms_ago = now.saturating_sub(worker.heard),
+            heard_ms_ago = now.saturating_sub(worker.last_heard),
             runs = texts.join(", "),
             "runs are lost with their worker"
         );
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -429,7 +429,7 @@
             run: number,
             worker: worker_key,
             free_millicores: worker.free().millicores,
-            heard_ms_ago: now.saturating_sub(worker.heard),
+            heard_ms_ago: now.saturating_sub(worker.last_heard),
             is_planned,
         })
     }
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -95,12 +95,12 @@
     /// reports none or has not answered yet.
     reported_born: Option<Millis>,
     /// When it last answered a poll.
-    pub heard: Millis,
+    pub last_heard: Millis,
     /// The latest poll whose answer was processed; polls may overtake each other.
     pub last_poll: Sequence,
     /// When an answer was last processed: an answer to a poll sent before that may be the older
     /// one.
-    pub list_heard: Sequence,
+    pub last_answer: Sequence,
     /// Since when calls have not been answered; none if the last one was.
     pub silent_since: Option<Millis>,
     /// When it gave notice that it leaves.
@@ -180,9 +180,9 @@
             roster_state_version: 0,
             fenced: false,
             reported_born: None,
-            heard: 0,
+            last_heard: 0,
             last_poll: Sequence::default(),
-            list_heard: Sequence::default(),
+            last_answer: Sequence::default(),
             silent_since: None,
             leaving_since: None,
             clock: None,
@@ -303,7 +303,8 @@
     pub fn next_forget(&self, now: Millis) -> NextForget {
         if self.recorded_end == self.forgotten_end || self.has_uncertain_life() {
             NextForget::Nothing
-        } else if now.saturating_sub(self.heard) < tuning::MIN_RESTART_TIME || self.forget_deferred
+        } else if now.saturating_sub(self.last_heard) < tuning::MIN_RESTART_TIME
+            || self.forget_deferred
         {
             NextForget::UpTo(self.recorded_end)
         } else {
@@ -447,7 +448,7 @@
         } else {
             tuning::RECENTLY_HEARD
         };
-        now.saturating_sub(self.heard) <= limit
+        now.saturating_sub(self.last_heard) <= limit
     }
 
     /// Assumes the longest lease, which an order meant for the clock of another life may have
@@ -478,7 +479,7 @@
             && !self.is_gone(now)
             && self.unknown_runs == 0
             && self.health.shunned_until <= now
-            && now.saturating_sub(self.heard) < tuning::STALE_AFTER
+            && now.saturating_sub(self.last_heard) < tuning::STALE_AFTER
     }
 
     /// Returns whether the worker belongs to `service` and has the label that `step` requires.
