--- a/src/cell/lost.rs
+++ b/src/cell/lost.rs
@@ -1,10 +1,12 @@
-//! Lives that are over, and on which starts may be forgotten.
+//! Lives of workers that have ended with starts on them that nobody may know of.
 //!
-//! What a former owner had started on such a life, and not recorded, nobody can tell any more.  Whoever
-//! finds the life over marks all jobs that the former owner knew ([`Cell::assume_unrecorded_starts`]),
-//! and a successor that does not find the life in the roster takes for granted that nothing was lost
-//! there.  So it stays in the roster until each of those jobs is read and its mark is recorded
-//! (docs/DESIGN.md, "Tasks that crash their workers"; docs/incidents/forgotten-starts.md).
+//! If a former owner had started tasks on a life and not recorded that, nobody can tell which they
+//! were once the life has ended. The owner that finds the life ended marks all jobs that the former
+//! owner knew ([`Cell::assume_unrecorded_starts`]), so that further starts of their tasks are
+//! recorded before they are sent. A successor that does not find the life in the roster assumes
+//! that no start was lost there. The life therefore stays in the roster until each of those jobs is
+//! read and its mark is recorded (docs/DESIGN.md, "Tasks that crash their workers";
+//! docs/incidents/forgotten-starts.md).
 
 use serde::{Deserialize, Serialize};
 
@@ -12,29 +14,29 @@
 use crate::cell::sequence::Sequence;
 use crate::cell::{Cell, WorkerKey};
 
-/// What the roster tells of a life that is over.
+/// Which life of a roster entry has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LostLife {
-    /// It is that of the entry: nothing runs there.
+    /// The life in the entry: nothing runs there.
     This,
-    /// It came before that of the entry.
+    /// A life before the one in the entry.
     Former,
 }
 
-/// A life that is over and stays in the roster.
+/// A life that has ended and stays in the roster.
 #[derive(Debug)]
 pub(super) struct EndedLife {
-    /// How it stands there unless another life of its id is in use.
+    /// Its roster entry, unless another life of the same id is in use.
     entry: RosterEntry,
-    /// When it was found to be over.
+    /// When it was last found that a life of this id had ended.
     noted: Sequence,
     /// A former owner may have started tasks there, also of jobs that are not read yet.
-    forgets: bool,
+    hides_starts: bool,
 }
 
 impl Cell {
-    /// A life is over, or its lease: it stays in the roster.  On one that is not in it nothing was
-    /// started.
+    /// Keeps a worker's life in the roster that has ended, or whose lease has run out. A life that
+    /// is not in the roster was never sent a start.
     pub(super) fn keep_lost_life(&mut self, key: WorkerKey) {
         let worker = &self.workers[key];
         let hides_starts = worker.may_have_unknown_starts();
@@ -52,25 +54,26 @@
         }
     }
 
-    fn keep_in_roster(&mut self, entry: RosterEntry, forgets: bool) {
+    /// Adds an ended life to those that stay in the roster, or renews the one of the same id.
+    fn keep_in_roster(&mut self, entry: RosterEntry, hides_starts: bool) {
         let noted = self.next_sequence();
         let id = &entry.worker.life.id;
         let mut kept = self.ended_lives.iter_mut();
         match kept.find(|kept| kept.entry.worker.life.id == *id) {
-            // What is being recorded for the life before does not cover this one.
+            // What is being recorded for an earlier life does not cover this one.
             Some(kept) => {
                 kept.noted = noted;
-                kept.forgets |= forgets;
+                kept.hides_starts |= hides_starts;
             }
             None => self.ended_lives.push(EndedLife {
                 entry,
                 noted,
-                forgets,
+                hides_starts,
             }),
         }
     }
 
-    /// A former owner tells of a life that was over for it.
+    /// Keeps an ended life in the roster that a former owner has kept there.
     pub(super) fn inherit_lost_life(&mut self, entry: &RosterEntry) {
         let entry = RosterEntry {
             lost: Some(LostLife::This),
@@ -81,13 +84,13 @@
         self.assume_unrecorded_starts();
     }
 
-    /// The entry of a life of this id that is over and stays in the roster.
+    /// Returns the entry of an ended life of this id that stays in the roster.
     pub(super) fn lost_entry_of(&self, id: &str) -> Option<&RosterEntry> {
         let mut entries = self.ended_lives.iter().map(|kept| &kept.entry);
         entries.find(|entry| entry.worker.life.id == id)
     }
 
-    /// The entries of lives that are over, but for those whose id another one in use has.
+    /// Returns the entries of ended lives, except those whose id a life in use has.
     pub(super) fn lost_entries(
         &self,
         is_used: impl Fn(&str) -> bool,
@@ -96,20 +99,22 @@
         entries.filter(move |entry| !is_used(&entry.worker.life.id))
     }
 
-    /// Lives of which nothing is noted but what is recorded once all that has changed is.  Jobs that
-    /// are not read yet have no mark to be recorded.
+    /// Returns the ended lives that may leave the roster once all pending changes are recorded.
+    /// While some jobs are not read yet, lives that may hide starts are not among them: those jobs
+    /// carry no mark yet that could be recorded.
     pub(super) fn lives_to_release(&self) -> Vec<Sequence> {
-        let told = self
+        let releasable = self
             .ended_lives
             .iter()
-            .filter(|kept| !kept.forgets || !self.has_unread_jobs);
-        told.map(|kept| kept.noted).collect()
+            .filter(|kept| !kept.hides_starts || !self.has_unread_jobs);
+        releasable.map(|kept| kept.noted).collect()
     }
 
-    /// What is noted of these lives is durable, so they leave the roster.
-    pub(super) fn release_lives(&mut self, told: &[Sequence]) {
-        let is_told = |kept: &mut EndedLife| told.contains(&kept.noted);
-        for kept in self.ended_lives.extract_if(.., is_told) {
+    /// Removes lives from the roster, by when they were noted: all that was noted for them is
+    /// durable.
+    pub(super) fn release_lives(&mut self, noted: &[Sequence]) {
+        let is_released = |kept: &mut EndedLife| noted.contains(&kept.noted);
+        for kept in self.ended_lives.extract_if(.., is_released) {
             self.roster_changes.insert(kept.entry.worker.life.id);
             self.roster_version += 1;
         }
