--- a/src/cell/lapse.rs
+++ b/src/cell/lapse.rs
@@ -1,9 +1,9 @@
-//! How long a silent worker may still run something, as one owner tells the next.
+//! Remaining leases on silent workers, handed from one owner of the cell to the next.
 //!
-//! A successor that cannot reach a worker waits until whatever may run there has lost its
-//! lease.  It cannot know when the lease was renewed last, so without a word it must wait the
-//! whole time from its own claim, and owners that follow one another soon would all
-//! wait anew (see "Settling" in `docs/DESIGN.md`).
+//! A successor that cannot reach a worker waits until the lease of whatever may run there is over.
+//! It cannot know when that lease was last renewed, so without further information it must wait
+//! the longest possible time from its own claim, and owners that follow one another quickly would
+//! each wait that long again (see "Settling" in `docs/DESIGN.md`).
 
 use std::collections::BTreeMap;
 
@@ -14,29 +14,31 @@
 use crate::cell::{Cell, tuning};
 use crate::clock::Millis;
 
-/// The most workers that are told of, so that they fit into a row of the store.  A successor waits
-/// the whole time for those that are left out.
+/// The most workers that are handed over, so that they fit into a row of the store. A successor
+/// waits the longest possible time for those that are left out.
 const MAX_WORKERS: usize = 1_000;
 
-/// What an owner that gives the cell up knows of silent workers.
+/// How long something may still run on silent workers, as known to an owner that gives the cell up.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemainingLeases {
-    /// Its epoch: only the next owner may rely on it, since that one may have renewed leases.
+    /// The epoch of that owner. Only its direct successor may rely on the times, since a successor
+    /// may renew leases itself.
     pub epoch: u64,
-    /// For how long something may still run there, by the worker's id.
+    /// The remaining time by worker id, in milliseconds from when the cell was given up.
     pub within: BTreeMap<String, Millis>,
 }
 
 impl Cell {
-    /// Tells for how long something may still run on workers that are silent.  From here on
-    /// this owner renews no lease there and starts nothing.
+    /// Returns for how long something may still run on silent workers. From here on this owner
+    /// renews no lease there and starts nothing.
     pub fn seal_silent(&mut self, now: Millis) -> RemainingLeases {
         let settle_deadline = self.settle_deadline;
         let mut within = BTreeMap::new();
         for worker in self.workers.values_mut().filter(|w| has_unrenewed_lease(w)) {
             worker.sealed = true;
             if worker.has_unrecorded_ends() {
-                // Its lease says nothing of those: only this worker can tell a successor of them.
+                // These ends outlast the lease, and a successor can learn of them only from this
+                // worker, so it must not rely on the lease.
                 continue;
             }
             let until = if worker.fenced {
@@ -54,12 +56,13 @@
         }
     }
 
-    /// Takes in what the former owner told, after its roster.
-    pub fn apply_remaining_leases(&mut self, lapses: &RemainingLeases, now: Millis) {
-        if tuning::next_epoch(lapses.epoch) != self.epoch {
+    /// Applies what the former owner has handed over. Call this after its roster was taken in;
+    /// values of any other than the direct predecessor are ignored.
+    pub fn apply_remaining_leases(&mut self, leases: &RemainingLeases, now: Millis) {
+        if tuning::next_epoch(leases.epoch) != self.epoch {
             return;
         }
-        for (id, within) in &lapses.within {
+        for (id, within) in &leases.within {
             if let Some(worker) = self.worker_ids.get(id).map(|&key| &mut self.workers[key]) {
                 worker.inherited_until = now + with_clock_drift(*within);
             }
@@ -67,12 +70,12 @@
     }
 }
 
-/// Tells whether the worker's lease is not being renewed.
+/// Tells whether the worker is in the roster and its lease is not being renewed.
 fn has_unrenewed_lease(worker: &Worker) -> bool {
     worker.roster_state != RosterState::Absent && (!worker.fenced || worker.is_silent())
 }
 
-/// The time by our clock in which `time` has passed by any other node's.
+/// Returns the time by our clock in which `time` has passed by the clock of any other node.
 fn with_clock_drift(time: Millis) -> Millis {
     time + time * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000
 }
