--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -1,9 +1,10 @@
-//! Runs under which a worker was lost, counted by task.
+//! Runs that were on a worker when it was lost, counted by task.
 //!
-//! A worker that crashes lists no end, so a task that crashes each worker would look new
-//! every time and be started without end: seven starts of one task in 25 s took seven workers
-//! down for 3.4 s each, with up to ten other runs.  Which task is to blame shows only when it
-//! is tried by itself (docs/DESIGN.md, "Tasks that crash their workers";
+//! A crashed worker reports no end for its runs. Without this count, a task that crashes every
+//! worker would be restarted without limit: in one incident, seven starts of one task within 25 s
+//! took down seven workers for 3.4 s each, with up to ten other runs. A crash alone does not show
+//! which of the runs on the worker caused it; that shows only when a suspect task is started in
+//! isolation, as a trial (docs/DESIGN.md, "Tasks that crash their workers";
 //! docs/incidents/crashing-tasks.md).
 
 use serde::{Deserialize, Serialize};
@@ -15,63 +16,67 @@
 use crate::cell::{Cell, RunKey, StepKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
-/// What speaks for a run having crashed its worker.
+/// How strongly a loss implicates a run in the crash of its worker.
+///
+/// A start is fresh if it was not answered, or was answered at most [`tuning::FRESH_START_AGE`] before the
+/// worker fell silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Blame {
-    /// It was the only one there that was just being started, or whose start was not answered.
+    /// It was the only fresh start without an answer or, if all were answered, the only fresh one.
     Sole,
-    /// It was just being started, and so were others.
+    /// It was a fresh start, and so were other runs on the worker.
     Shared,
-    /// None was just being started; it was among the latest, or all had run for a while.
+    /// No start was fresh; it was one of the unproven runs, or all runs were proven harmless.
     Late,
 }
 
-/// A run that was there when its worker was lost, or fell silent.
+/// A run that was on its worker when the worker was lost or fell silent, or whose start is planned.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// The run's number.
+    /// The number of the run.
     pub run: u64,
     /// The id of the worker.
     pub worker: String,
-    /// When its life started; whoever hears that life again knows that it did not crash.
+    /// When the life of the worker started, in Unix milliseconds. If that life answers again, it
+    /// did not crash.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<Millis>,
-    /// The machine, so that the next try is made on another one.
+    /// The machine of the worker; the next attempt is made on another one.
     pub machine: String,
-    /// What speaks for it being to blame.
+    /// How strongly the loss implicates the run.
     pub blame: Blame,
-    /// Nothing shows that the worker lived to begin it: the start was not answered, nor had the worker
-    /// been heard just before.
+    /// Nothing shows that the worker was alive to begin the run: the start was not answered, and
+    /// the worker had not been heard from just before it was sent.
     #[serde(default)]
     pub unanswered: bool,
-    /// The life is over for certain.
+    /// The life of the worker has ended for certain.
     pub crashed: bool,
-    /// The run was recorded before its start was sent, and nothing speaks against it.
+    /// The run was recorded before its start was sent, and no crash implicates it so far.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub planned: bool,
-    /// A successor would know of it.
+    /// The loss is durable, so that a successor will know of it.
     #[serde(skip)]
     pub recorded: bool,
 }
 
-/// Losses on one life of a worker whose fate is not known yet.
+/// Losses on one life of a worker that is not yet known to have crashed or survived.
 #[derive(Debug)]
 pub(super) struct PendingLosses {
     machine: String,
-    /// When the first of them was noted, by our clock.
+    /// When the first of them was noted, by the owner's clock.
     since: Millis,
     losses: Vec<PendingLoss>,
 }
 
-/// A loss whose verdict is out.
+/// A loss that is not yet known to be a crash.
 #[derive(Debug, Clone, Copy)]
 struct PendingLoss {
     loss_key: LossKey,
-    /// When it was noted: only the answer to a later look shows that the life has survived it.
+    /// When it was noted: only the answer to a look sent later shows that the life survived it.
     noted: Sequence,
 }
 
-/// Where a loss is noted.
+/// Identifies a loss by the task and run for which it is noted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct LossKey {
     step: StepKey,
@@ -80,7 +85,7 @@
 }
 
 impl LossKey {
-    /// Where a loss of this run is noted.
+    /// Returns the key under which a loss of `run` is noted.
     pub(super) fn of(run: &Run) -> Self {
         Self {
             step: run.step,
@@ -100,7 +105,8 @@
 }
 
 impl Run {
-    /// Tells whether its start was not answered by a time, or only just before.
+    /// Tells whether the start was sent and is not answered, or was answered no earlier than
+    /// [`tuning::FRESH_START_AGE`] before `then`.
     pub(super) fn is_fresh(&self, then: Millis) -> bool {
         let is_sent = self.phase != Phase::Planned;
         is_sent && (self.start_heard.is_none() || self.began_at + tuning::FRESH_START_AGE >= then)
@@ -108,20 +114,22 @@
 }
 
 impl Task {
-    /// Tells whether a start of it may have crashed a worker; it is tried by itself then.
+    /// Tells whether a start of the task may have crashed a worker. Such a task is started as a
+    /// trial.
     pub(super) fn is_suspect(&self) -> bool {
-        let speaks = |loss: &Loss| !loss.planned && loss.blame != Blame::Late;
-        self.losses.iter().any(speaks)
+        let implicates = |loss: &Loss| !loss.planned && loss.blame != Blame::Late;
+        self.losses.iter().any(implicates)
     }
 
-    /// Tells whether it may be started as far as its losses go.  While the verdict on the last one would
-    /// end the job, that is awaited, or a worker that is slow to come back lets it crash one more.
+    /// Tells whether the losses of the task allow another start. If a pending verdict could fail
+    /// the job, it is awaited first: otherwise a task could crash one more worker while the last
+    /// one is slow to come back.
     pub(super) fn losses_allow_start(&self) -> bool {
         let may_count = |loss: &Loss| loss.crashed || loss.blame != Blame::Late;
         !self.exceeds_crash_limit(may_count)
     }
 
-    /// Tells whether the job is given up if those losses count which `counts` names.
+    /// Tells whether the losses for which `counts` holds are enough to fail the job.
     fn exceeds_crash_limit(&self, counts: impl Fn(&Loss) -> bool) -> bool {
         let counted = || self.losses.iter().filter(|loss| counts(loss));
         let sole = || counted().filter(|loss| loss.blame == Blame::Sole);
@@ -133,11 +141,12 @@
 }
 
 impl Cell {
-    /// A worker has been silent for a while: the next owner must know what may have crashed it.
+    /// Notes the fresh starts on a worker once it has been silent for [`tuning::SUSPECT_AFTER`], so
+    /// that they are recorded and the next owner knows what may have crashed it.
     pub(super) fn note_suspects_of_silent(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
-        let silent = |since| now.saturating_sub(since) >= tuning::SUSPECT_AFTER;
-        if worker.suspected || !worker.silent_since.is_some_and(silent) {
+        let is_long = |since| now.saturating_sub(since) >= tuning::SUSPECT_AFTER;
+        if worker.suspected || !worker.silent_since.is_some_and(is_long) {
             return;
         }
         self.workers[key].suspected = true;
@@ -145,25 +154,26 @@
         self.note_fresh(&fresh, now);
     }
 
-    /// Notes the runs that may have crashed a worker: those that were just being started, else those
-    /// that had only just begun, else all.
+    /// Notes the runs that may have crashed a worker: its fresh starts, else its unproven runs,
+    /// else all of its runs.
     pub(super) fn note_losses(&mut self, key: WorkerKey, now: Millis) {
         let fresh = self.fresh_starts(key, now);
         if !fresh.is_empty() {
             return self.note_fresh(&fresh, now);
         }
-        let young = self.unproven_runs(key);
-        let runs = if young.is_empty() {
+        let unproven = self.unproven_runs(key);
+        let runs = if unproven.is_empty() {
             self.workers[key].runs.clone()
         } else {
-            young
+            unproven
         };
         for run in runs {
             self.note_loss(run, Blame::Late, now);
         }
     }
 
-    /// A start without an answer is the likelier culprit, so one alone is blamed alone.
+    /// Notes losses for fresh starts. An unanswered start is a likelier cause than an answered one,
+    /// so a single unanswered start gets the sole blame.
     fn note_fresh(&mut self, fresh: &[RunKey], now: Millis) {
         let is_unanswered = |run: &RunKey| self.runs[*run].start_heard.is_none();
         let unanswered: Vec<RunKey> = fresh.iter().copied().filter(is_unanswered).collect();
@@ -186,23 +196,23 @@
         }
     }
 
-    /// The starts that were not answered, or just before the worker fell silent: in seven of
-    /// eight crashes the start had been answered some milliseconds before.
+    /// Returns the unproven runs whose start was not answered, or was answered just before the
+    /// worker fell silent: in seven of eight crashes the answer had come some milliseconds before.
     fn fresh_starts(&self, key: WorkerKey, now: Millis) -> Vec<RunKey> {
         let silent = self.workers[key].silent_since.unwrap_or(now);
-        let young = self.unproven_runs(key).into_iter();
-        young
+        let unproven = self.unproven_runs(key).into_iter();
+        unproven
             .filter(|&run| self.runs[run].is_fresh(silent))
             .collect()
     }
 
     fn unproven_runs(&self, key: WorkerKey) -> Vec<RunKey> {
         let runs = self.workers[key].runs.iter().copied();
-        let is_young = |run: &RunKey| {
+        let is_unproven = |run: &RunKey| {
             let run = &self.runs[*run];
             run.phase != Phase::Planned && !run.proven
         };
-        runs.filter(is_young).collect()
+        runs.filter(is_unproven).collect()
     }
 
     fn note_loss(&mut self, key: RunKey, blame: Blame, now: Millis) {
@@ -231,11 +241,11 @@
         }
         job.dirty = true;
         let loss_key = self.loss_key(key);
-        self.doubt(life, machine, loss_key, now);
+        self.add_pending_loss(life, machine, loss_key, now);
     }
 
-    /// Notes a run whose start is recorded first.  Should the owner be lost, its successor knows of
-    /// the start but not whether it was sent, so it blames others as well.
+    /// Notes a run whose start is recorded before it is sent. If the owner is lost, its successor
+    /// knows of the start but not whether it was sent, so the run gets only a share of the blame.
     pub(super) fn note_planned_start(&mut self, key: RunKey) {
         let loss = Loss {
             planned: true,
@@ -267,9 +277,9 @@
         LossKey::of(&self.runs[key])
     }
 
-    fn doubt(&mut self, life: Life, machine: String, loss_key: LossKey, now: Millis) {
+    fn add_pending_loss(&mut self, life: Life, machine: String, loss_key: LossKey, now: Millis) {
         let noted = self.next_sequence();
-        let doubt = self
+        let pending = self
             .pending_losses
             .entry(life)
             .or_insert_with(|| PendingLosses {
@@ -277,11 +287,12 @@
                 since: now,
                 losses: Vec::new(),
             });
-        doubt.losses.push(PendingLoss { loss_key, noted });
+        pending.losses.push(PendingLoss { loss_key, noted });
     }
 
-    /// A worker has answered a look: what was noted of this life before the look was sent did not crash
-    /// it, nor did a start that was given up as unanswered and barred by then.
+    /// Clears the losses that were noted on the present life of a worker before `sent`, when the
+    /// look that it has now answered was sent: they did not crash it. Nor did a start that had been
+    /// given up as unanswered and barred by a stop by then.
     pub(super) fn clear_survived_losses(&mut self, key: WorkerKey, sent: Sequence) {
         for run in self.unproven_runs(key) {
             let given_up = self.runs[run].doubt_heard.is_some_and(|heard| heard < sent);
@@ -294,13 +305,14 @@
         let worker = &mut self.workers[key];
         worker.suspected = false;
         let life = worker.entry.life.clone();
-        // An owner that did not know when the life started may have noted it so.
+        // An owner that did not know when the life started noted its losses under the id alone.
         self.clear_losses_of_life(&Life::of(life.id.as_str()), sent);
         self.clear_losses_of_life(&life, sent);
     }
 
-    /// Tells whether a worker's clock is past the time at which a start without an answer would have
-    /// been carried out, by an answer to any look: one that is held for an end was sent before.
+    /// Tells whether the worker's clock, by its latest answer, is past the time at which an
+    /// unanswered start should have been carried out. The answer to any look counts, also to one
+    /// that was sent before the start and has waited at the worker for an end.
     fn is_past_start_window(&self, key: WorkerKey, run: RunKey) -> bool {
         let run = &self.runs[run];
         let sent = run.expires.saturating_sub(tuning::START_VALIDITY);
@@ -309,7 +321,8 @@
         is_unanswered && self.workers[key].clock.is_some_and(is_past)
     }
 
-    /// A worker has outlived a start that may still come late: a crash of it shows nothing any more.
+    /// Marks an unanswered start that may still arrive late at a worker that is alive: a crash of
+    /// the worker from now on no longer shows that it began the run.
     fn mark_inconclusive(&mut self, key: RunKey) {
         let run = &mut self.runs[key];
         run.crash_is_evidence = false;
@@ -320,31 +333,33 @@
         }
     }
 
+    /// Clears the losses of a life that were noted before `sent`, unless their starts may still
+    /// begin.
     fn clear_losses_of_life(&mut self, life: &Life, sent: Sequence) {
-        let Some(mut doubt) = self.pending_losses.swap_remove(life) else {
+        let Some(mut pending) = self.pending_losses.swap_remove(life) else {
             return;
         };
-        let is_open = |noted: &PendingLoss| {
-            let run = self.find_lost_run(noted.loss_key);
-            noted.noted >= sent || run.is_some_and(|run| self.may_begin_after(run, sent))
+        let is_open = |loss: &PendingLoss| {
+            let run = self.find_lost_run(loss.loss_key);
+            loss.noted >= sent || run.is_some_and(|run| self.may_begin_after(run, sent))
         };
-        let (open, clear) = doubt.losses.into_iter().partition(is_open);
-        doubt.losses = open;
-        if !doubt.losses.is_empty() {
-            self.pending_losses.insert(life.clone(), doubt);
+        let (open, clear) = pending.losses.into_iter().partition(is_open);
+        pending.losses = open;
+        if !pending.losses.is_empty() {
+            self.pending_losses.insert(life.clone(), pending);
         }
         self.forget_pending(clear);
     }
 
-    /// The run of a loss, if it may still go on.
+    /// Returns the run of a loss if it may still go on.
     fn find_lost_run(&self, loss_key: LossKey) -> Option<RunKey> {
         let task = &self.steps.get(loss_key.step)?.tasks[loss_key.index as usize];
         let mut runs = task.runs.iter().copied();
         runs.find(|&run| self.runs[run].number == loss_key.run)
     }
 
-    /// Tells whether a start without an answer may be carried out after a look was sent: no stop had
-    /// barred it by then.
+    /// Tells whether an unanswered start may be carried out after a look was sent at `sent`: no
+    /// confirmed stop had barred it by then.
     fn may_begin_after(&self, key: RunKey, sent: Sequence) -> bool {
         let run = &self.runs[key];
         let barred = run.stop.and_then(|stop| stop.confirmed);
@@ -353,8 +368,8 @@
     }
 
     fn discard_pending_losses(&mut self, life: &Life) {
-        if let Some(doubt) = self.pending_losses.swap_remove(life) {
-            self.forget_pending(doubt.losses);
+        if let Some(pending) = self.pending_losses.swap_remove(life) {
+            self.forget_pending(pending.losses);
         }
     }
 
@@ -364,45 +379,47 @@
         }
     }
 
-    /// A life of a worker is over: whatever is noted of it has crashed with it, but for starts of
-    /// which it is not known yet whether it had carried them out.
+    /// Counts the pending losses of a life that has ended as crashes, except for the starts in
+    /// `awaited`: it is not known yet whether that life had carried them out.
     pub(super) fn confirm_crash(&mut self, life: &Life, awaited: &[RunKey], now: Millis) {
         let awaited: Vec<LossKey> = awaited
             .iter()
             .map(|&key| self.awaiting_verdict[&key])
             .collect();
-        let Some(doubt) = self.pending_losses.swap_remove(life) else {
+        let Some(pending) = self.pending_losses.swap_remove(life) else {
             return;
         };
-        for PendingLoss { loss_key, .. } in doubt.losses {
+        for PendingLoss { loss_key, .. } in pending.losses {
             if !awaited.contains(&loss_key) {
                 self.count_crash(loss_key, now);
             }
         }
     }
 
-    /// It shows later whether a start was carried out by the life that is over.
+    /// Defers the verdict on a start until it is known whether the life that has ended had carried
+    /// it out.
     pub(super) fn await_verdict(&mut self, key: RunKey) {
         let loss_key = self.loss_key(key);
         self.awaiting_verdict.insert(key, loss_key);
     }
 
-    /// A run is found in a life of its worker that goes on.
+    /// Forgets the deferred loss of a run that the present life of its worker reports: the life
+    /// that ended did not begin it.
     pub(super) fn note_survival(&mut self, key: RunKey) {
         if let Some(loss_key) = self.awaiting_verdict.remove(&key) {
             self.forget_loss(loss_key);
         }
     }
 
-    /// A start whose worker was lost is found nowhere: if it was carried out, then by the life that
-    /// is over.
+    /// Counts a crash for a deferred start that the next life does not report: if the start was
+    /// carried out at all, it was by the life that has ended.
     pub(super) fn start_not_found(&mut self, key: RunKey, now: Millis) {
         if let Some(loss_key) = self.awaiting_verdict.remove(&key) {
             self.count_crash(loss_key, now);
         }
     }
 
-    /// The answer to a start came after its worker had been lost.
+    /// Decides a deferred verdict by the answer to the start, which came after its worker was lost.
     pub(super) fn start_answered_late(&mut self, key: RunKey, outcome: StartOutcome, now: Millis) {
         let Some(loss_key) = self.awaiting_verdict.remove(&key) else {
             return;
@@ -431,9 +448,18 @@
             task.losses.len(),
             task.exceeds_crash_limit(|loss| loss.crashed),
         );
-        // Of ten runs that were merely there nothing is to be told.
+        // Runs that were merely present, up to ten in a crash, are not worth a log line each.
         if blame != Blame::Late || hopeless {
-            tracing::info!(request = %name.step.job, task = %name, run = loss_key.run, worker, ?blame, losses, hopeless, "worker crashed under a task");
+            tracing::info!(
+                request = %name.step.job,
+                task = %name,
+                run = loss_key.run,
+                worker,
+                ?blame,
+                losses,
+                hopeless,
+                "worker crashed under a task"
+            );
         }
         self.counts.crashes += 1;
         if self.jobs[job].state.is_final() {
@@ -446,43 +472,45 @@
         }
     }
 
-    /// Decides about lives that are not listed any more: another life of the machine that answers
-    /// proves that they crashed.  A worker that was cut off, drained or removed has none, and nothing is
-    /// held against a task for ever.
+    /// Decides about the lives with pending losses: another life of the same machine that answers
+    /// proves that they crashed. A worker that was cut off, drained or removed has no other life,
+    /// so after [`tuning::CRASH_VERDICT_TIMEOUT`] its losses no longer count against their tasks.
     pub(super) fn resolve_pending_losses(&mut self, now: Millis) {
         if self.pending_losses.is_empty() || self.awaits_worker_list {
             return;
         }
         let mut crashed = Vec::new();
-        let mut faded = Vec::new();
-        for (life, doubt) in &self.pending_losses {
-            if self.is_over(life, doubt) {
+        let mut expired = Vec::new();
+        for (life, pending) in &self.pending_losses {
+            if self.is_crash_proven(life, pending) {
                 crashed.push(life.clone());
-            } else if now.saturating_sub(doubt.since) > tuning::CRASH_VERDICT_TIMEOUT {
-                faded.push(life.clone());
+            } else if now.saturating_sub(pending.since) > tuning::CRASH_VERDICT_TIMEOUT {
+                expired.push(life.clone());
             }
         }
         for life in crashed {
             self.confirm_crash(&life, &[], now);
         }
-        for life in faded {
+        for life in expired {
             self.discard_pending_losses(&life);
         }
     }
 
-    /// Tells whether another life of its machine proves that a life is over: one that was heard after
-    /// that life was doubted.  Its entry alone may be that of an earlier life.
-    fn is_over(&self, life: &Life, doubt: &PendingLosses) -> bool {
+    /// Tells whether another life proves that `life` has ended: one of the same id that has
+    /// answered, or one of the same machine that has answered since the first loss on `life` was
+    /// noted. The entry of another life alone proves nothing, since it may be that of an earlier
+    /// one.
+    fn is_crash_proven(&self, life: &Life, pending: &PendingLosses) -> bool {
         match self.worker_ids.get(&life.id).map(|&key| &self.workers[key]) {
             Some(worker) => worker.fenced && worker.entry.life.differs_from(life.born),
             None => self.workers.values().any(|worker| {
-                let heard = worker.fenced && worker.last_heard >= doubt.since;
-                heard && worker.entry.machine == doubt.machine
+                let heard = worker.fenced && worker.last_heard >= pending.since;
+                heard && worker.entry.machine == pending.machine
             }),
         }
     }
 
-    /// Takes up the losses that a former owner recorded of a task.
+    /// Restores the losses of a task that a former owner recorded.
     pub(super) fn restore_losses(
         &mut self,
         step: StepKey,
@@ -490,7 +518,8 @@
         losses: &[Loss],
         now: Millis,
     ) {
-        // What it had only noted may have been cleared since, and the record be late.
+        // A loss that was not confirmed as a crash may have been cleared after this record was
+        // written, so it counts as unanswered.
         let recorded = |loss: &Loss| Loss {
             recorded: true,
             unanswered: loss.unanswered || !loss.crashed,
@@ -500,20 +529,21 @@
         for loss in losses.iter().filter(|loss| !loss.crashed) {
             let run = loss.run;
             let loss_key = LossKey { step, index, run };
-            self.doubt(loss.life(), loss.machine.clone(), loss_key, now);
+            self.add_pending_loss(loss.life(), loss.machine.clone(), loss_key, now);
         }
     }
 
-    /// These losses of a task are durable.
+    /// Marks those losses of a task that have become durable.
     pub(super) fn mark_losses_recorded(&mut self, step: StepKey, index: u32, recorded: &[Loss]) {
         for loss in &mut self.steps[step].tasks[index as usize].losses {
             loss.recorded |= recorded.iter().any(|other| other.run == loss.run);
         }
     }
 
-    /// A look shows that a run goes on: after a while it is not to blame for what was lost when it
-    /// began, and long after for nothing.
-    pub(super) fn clear_losses_by_age(&mut self, key: RunKey, now: Millis) {
+    /// Reduces the blame on a run that a look shows to go on. Once it is older than
+    /// [`tuning::PROVEN_AFTER`], it is proven and its task's losses from fresh starts are forgotten; after
+    /// [`tuning::LOSSES_EXPIRE_AFTER`] all losses of the task are.
+    pub(super) fn reduce_blame(&mut self, key: RunKey, now: Millis) {
         let run = &mut self.runs[key];
         let age = now.saturating_sub(run.began_at);
         let (step, index) = (run.step, run.index);
@@ -529,19 +559,21 @@
         }
     }
 
+    /// Marks a run as not to blame if its worker crashes, which also ends its trial.
     fn mark_proven(&mut self, key: RunKey) {
         let run = &mut self.runs[key];
         run.proven = true;
         self.workers[run.worker].trials -= u32::from(run.trial);
     }
 
-    /// Nothing is held against a task for one of its runs any more.
+    /// Forgets the loss of one run of a task.
     pub(super) fn forget_loss(&mut self, loss_key: LossKey) {
         self.forget_losses(loss_key.step, loss_key.index, |loss| {
             loss.run == loss_key.run
         });
     }
 
+    /// Forgets those losses of a task for which `is_cleared` holds.
     pub(super) fn forget_losses(
         &mut self,
         step: StepKey,
--- a/src/cell/look.rs
+++ b/src/cell/look.rs
@@ -1,4 +1,8 @@
-//! Taking in what a worker tells when it is looked at.
+//! Processes the answers to looks.
+//!
+//! A look polls one worker: it renews the lease of everything that runs there, and its answer lists
+//! what runs and what has ended. Each look carries the sequence number (`Sequence`) at which it was
+//! sent: its answer is certain to reflect only what was heard before that.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +19,7 @@
 use crate::clock::Millis;
 
 impl Cell {
-    /// Takes in what a look brought.
+    /// Processes the answer to a look.
     pub fn look_answered(&mut self, order: &PollOrder, look: &PollReport, now: Millis) {
         let key = order.to.worker;
         let heard = self.next_sequence();
@@ -23,15 +27,15 @@
             return;
         };
         if order.sequence < worker.last_poll {
-            // A later look was answered first; whatever matters here is told again.
+            // A later look was answered first, and its answer lists again whatever matters here.
             return;
         }
         if self.detect_other_life(order, look, now) {
             return;
         }
         let worker = &mut self.workers[key];
-        // Of two lists that were on their way at once either may be the older one: it must
-        // neither bring back a run that has ended nor hide work that waits for its job.
+        // Answers that were in flight at the same time may arrive in either order: the older list
+        // must neither bring back a run that has ended nor hide work whose job is not read yet.
         let newest = worker.last_answer < order.sequence;
         if newest {
             worker.clear_listed_state();
@@ -52,8 +56,8 @@
             if may_have_former_life_lease(worker, look) {
                 worker.assume_longest_lease(now);
             }
-            // A former owner may have renewed the lease just now: without this a task was
-            // started again 0.4 s before its first run could be over.
+            // A former owner may have renewed the lease just now. Without this a task was started
+            // again 0.4 s before its first run was certain to be over.
             worker.extend_lease(now, tuning::LEASE);
             tracing::debug!(
                 worker = %worker.entry.life,
@@ -72,7 +76,7 @@
         self.unpark_unless_idle(key, now);
     }
 
-    /// A look brought nothing.
+    /// Processes a look that failed.
     pub fn look_failed(&mut self, key: WorkerKey, failure: PollFailure, now: Millis) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
@@ -96,12 +100,12 @@
         }
     }
 
-    /// Takes in the ends of all jobs that are known.
+    /// Processes the ends that a worker lists, as far as their jobs are known.
     ///
-    /// What a worker forgets must be recorded, so it forgets nothing from the first end on that
-    /// belongs to a job which was not read yet.  Ends behind that one count all the same: their
-    /// runs are not listed as running any more, and their tasks would be started again.  While
-    /// four in ten partitions of jobs were away, 490 tasks a day were.
+    /// A worker may forget an end only once it is recorded, so it keeps everything from the first
+    /// end on whose job is not read yet. Ends behind that one are processed all the same: their
+    /// runs are no longer listed as running, so their tasks would be started again. While four in
+    /// ten partitions of jobs were unavailable, that happened to 490 tasks a day.
     pub(super) fn process_ends(&mut self, key: WorkerKey, ends: &[EndEntry], now: Millis) {
         let mut held: Option<&EndEntry> = None;
         for end in ends {
@@ -129,7 +133,8 @@
         }
     }
 
-    /// Logs once for each end, and not for each look, what holds others back.
+    /// Logs which end keeps the worker from forgetting further ones, once for each such end and not
+    /// at each look.
     fn log_held_ends(&self, key: WorkerKey, first: &EndEntry, listed: usize) {
         tracing::info!(
             worker = self.workers[key].entry.life.id,
@@ -141,8 +146,8 @@
         );
     }
 
-    /// Tells whether a task may be one of ours that is not known yet: the row of its job could
-    /// not be read, or by our time of day its time has not come, as it had by a former
+    /// Tells whether a task may be one of ours that is not known yet: the row of its job could not
+    /// be read, or its scheduled time has not come by our time of day, though it had by a former
     /// owner's.
     fn is_unread(&self, task: TaskName) -> bool {
         let id = task.step.job;
@@ -150,11 +155,11 @@
             return self.has_unread_jobs && !self.knows_job(id);
         };
         let time = task.step.time;
-        let comes = job
+        let is_scheduled = job
             .spec
             .schedule
             .is_some_and(|schedule| time < schedule.times);
-        comes && !job.state.is_final() && !job.occurrences.contains_key(&time)
+        is_scheduled && !job.state.is_final() && !job.occurrences.contains_key(&time)
     }
 
     fn process_end(&mut self, key: WorkerKey, end: &EndEntry, now: Millis) {
@@ -171,7 +176,7 @@
         self.process_unknown_end(step_key, end, now);
     }
 
-    /// An end of a run that a former owner started, or that was written off.
+    /// Processes the end of a run that a former owner started, or that was written off.
     fn process_unknown_end(&mut self, step_key: crate::cell::StepKey, end: &EndEntry, now: Millis) {
         let job_key = self.steps[step_key].job;
         if self.jobs[job_key].state.is_final() {
@@ -187,12 +192,12 @@
                 self.mark_job_running(job_key);
                 self.task_done(step_key, index, end.number, now);
             }
-            EndKind::Failed => self.count_inherited_failure(step_key, end, now),
+            EndKind::Failed => self.count_unknown_failure(step_key, end, now),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
         }
     }
 
-    /// Takes in what runs, and returns which runs of ours that is.
+    /// Processes the runs that a worker lists, and returns those that are known or were taken over.
     fn process_running(
         &mut self,
         order: &PollOrder,
@@ -202,11 +207,11 @@
     ) -> BTreeSet<RunKey> {
         let key = order.to.worker;
         let mut listed: BTreeSet<RunKey> = BTreeSet::new();
-        let mut strangers = 0;
+        let mut unknown = 0;
         for entry in &look.running {
             let known = self.find_run(key, entry.task, entry.number);
             if known.is_none() && !newest {
-                // It may have ended since; if it has not, the next list shows it.
+                // It may have ended since the list was made; if not, the next list shows it.
                 continue;
             }
             match known.or_else(|| self.adopt(key, entry, now)) {
@@ -216,19 +221,20 @@
                     self.update_progress(run, entry, look.clock, now);
                 }
                 None => {
-                    strangers += 1;
+                    unknown += 1;
                     self.stop_unknown_run(key, entry.task, entry.number);
                 }
             }
         }
         if newest {
-            self.workers[key].unknown_runs = strangers;
+            self.workers[key].unknown_runs = unknown;
         }
         listed
     }
 
-    /// Stops a run that no job of ours accounts for; while some jobs could not be
-    /// read it may belong to one of them.  One that has ended is known by its end alone.
+    /// Stops a run that belongs to no job of ours. It is left alone if it may belong to a job that
+    /// could not be read. For a job that ended under a former owner the record of its end is enough
+    /// to tell that its runs must stop.
     fn stop_unknown_run(&mut self, worker: WorkerKey, task: TaskName, number: u64) {
         if self.is_unread(task) {
             let worker = &mut self.workers[worker];
@@ -241,13 +247,13 @@
             %task,
             run = number,
             worker = self.workers[worker].entry.life.id,
-            "a run that is not ours is stopped"
+            "stopping a run that belongs to no job of this cell"
         );
         self.order_stop(worker, None, task, number);
     }
 
-    /// What a worker lists long after it has confirmed a stop outweighs that: the run goes
-    /// on, so the stop is repeated as if it had not been confirmed.
+    /// Drops the confirmation of a stop if the run is still listed more than [`tuning::MAX_STOP_TIME`]
+    /// after the stop was sent: the run goes on, so the stop is repeated.
     fn clear_stale_stop_confirmation(&mut self, key: RunKey, order: &PollOrder) {
         if let Some(stop) = &mut self.runs[key].stop
             && stop.sent + tuning::MAX_STOP_TIME < order.sent
@@ -256,24 +262,34 @@
         }
     }
 
-    /// Takes over a run that a former owner started.
+    /// Takes over a run that a former owner started. Returns `None` if its task is not known, is
+    /// done or already has a run, or if its job has ended.
     fn adopt(&mut self, worker: WorkerKey, entry: &RunningEntry, now: Millis) -> Option<RunKey> {
         let step_key = self.find_step(entry.task)?;
         let step = &self.steps[step_key];
         let job_key = step.job;
         let task = &step.tasks[entry.task.index as usize];
-        let free = task.runs.is_empty() || step.step().copies;
-        if self.jobs[job_key].state.is_final() || task.done || !free {
+        let accepts_run = task.runs.is_empty() || step.step().copies;
+        if self.jobs[job_key].state.is_final() || task.done || !accepts_run {
             return None;
         }
         let trial = self.needs_trial(step_key, entry.task.index);
         let room = step.step().room();
         if !room.fits(&self.workers[worker].free()) {
             self.counts.violations += 1;
-            tracing::error!(task = %entry.task, "a former owner's run does not fit");
+            tracing::error!(
+                task = %entry.task,
+                "a former owner's run does not fit into the free room of its worker"
+            );
         }
         self.counts.adopted += 1;
-        tracing::info!(request = %entry.task.step.job, task = %entry.task, run = entry.number, worker = self.workers[worker].entry.life.id, "run taken over");
+        tracing::info!(
+            request = %entry.task.step.job,
+            task = %entry.task,
+            run = entry.number,
+            worker = self.workers[worker].entry.life.id,
+            "run taken over"
+        );
         self.mark_job_running(job_key);
         Some(self.add_run(Run {
             step: step_key,
@@ -295,6 +311,7 @@
         }))
     }
 
+    /// Updates a known run by its entry in a list.
     fn update_progress(&mut self, key: RunKey, entry: &RunningEntry, clock: Millis, now: Millis) {
         self.note_survival(key);
         let run = &mut self.runs[key];
@@ -305,12 +322,13 @@
             self.save_progress(step, index, &entry.saved);
         }
         self.mark_job_running(self.steps[step].job);
-        self.clear_losses_by_age(key, now);
+        self.reduce_blame(key, now);
         self.detect_slow_run(key, now);
     }
 
-    /// Runs that the worker does not list are over if the list is later than their beginning
-    /// or their stop took effect there: its look was sent after that was heard.
+    /// Removes the runs that a worker does not list and that are certain to be over: its look was
+    /// sent after their beginning, or the confirmation of their stop, had been heard, or their
+    /// start can no longer take effect by the worker's clock.
     fn remove_unlisted(
         &mut self,
         key: WorkerKey,
@@ -321,7 +339,7 @@
     ) {
         let (sent, forgotten) = (order.sequence, order.forget);
         if self.workers[key].more_ends {
-            // It may have ended, among those ends that are not listed yet.
+            // An unlisted run may be among the ends that did not fit into this list.
             return;
         }
         let unlisted: Vec<RunKey> = self.workers[key]
@@ -334,7 +352,7 @@
             let run = &self.runs[run_key];
             let is_inherited = run.sent_to != key;
             let over = match run.phase {
-                // It refuses by now what was meant for the former life.
+                // From then on the present life refuses a start that was meant for a former one.
                 _ if is_inherited => self.workers[key].quarantined_until <= now,
                 Phase::Planned | Phase::Sent => false,
                 Phase::Running => run.start_heard.is_some_and(|heard| heard < sent),
@@ -350,12 +368,22 @@
             let (step, index) = (run.step, run.index);
             let task = self.steps[step].task_name(index);
             let worker = &self.workers[key];
-            tracing::info!(request = %task.step.job, %task, run = run.number, phase = ?run.phase, worker = %worker.entry.life, clock, ends = worker.seen_end, forgotten, "run is not there");
-            let place = LossKey::of(run);
+            tracing::info!(
+                request = %task.step.job,
+                %task,
+                run = run.number,
+                phase = ?run.phase,
+                worker = %worker.entry.life,
+                clock,
+                ends = worker.seen_end,
+                forgotten,
+                "run is not there"
+            );
+            let loss_key = LossKey::of(run);
             self.remove_run(run_key);
             if !is_inherited {
-                // Its life goes on without it.
-                self.forget_loss(place);
+                // The life that the start was meant for goes on, so the run did not crash it.
+                self.forget_loss(loss_key);
             }
             self.start_not_found(run_key, now);
             self.stop_gang(step, now, "a member of the gang is not there");
@@ -363,19 +391,24 @@
     }
 }
 
-/// Tells whether a life may have a lease that was meant for the clock of a former one, of this owner
-/// or another: a late start gives it, also one that is refused.
+/// Tells whether a life may hold a lease that was meant for the clock of a former life, given by
+/// this owner or another: a start that arrives late gives such a lease, even if it is refused.
 fn may_have_former_life_lease(worker: &Worker, look: &PollReport) -> bool {
     let is_young = look.born.is_some() && look.clock <= FormerLives::RELEVANT_FOR;
     is_young || worker.former.epoch_offset() > 0
 }
 
-/// Tells whether a life that has not answered before has forgotten ends: they are numbered from one.
+/// Tells whether a life that has not answered before has discarded ends that nobody has read: each
+/// life numbers its ends from one without gaps.
 fn has_discarded_ends(worker: &Worker, look: &PollReport) -> bool {
     let is_next = |end: &EndEntry| end.place <= worker.seen_end + 1;
     let missing = worker.former.epoch_offset() > 0 && !look.ended.first().is_none_or(is_next);
     if missing {
-        tracing::error!(worker = %worker.entry.life, first = look.ended[0].place, "a worker has forgotten ends that nobody has read");
+        tracing::error!(
+            worker = %worker.entry.life,
+            first = look.ended[0].place,
+            "a worker has forgotten ends that nobody has read"
+        );
     }
     missing
 }
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -1,4 +1,4 @@
-//! The life of a run: from its start to its end, or to being written off.
+//! Lifecycle of a run: from its start until it ends, or is written off with its worker.
 
 use crate::cell::crash::{Loss, LossKey};
 use crate::cell::job::{JobState, Phase, Run, Stop};
@@ -18,7 +18,7 @@
         known.then_some(key)
     }
 
-    /// Finds a run of ours on a worker.
+    /// Finds a known run on a worker by its task and number.
     pub(super) fn find_run(
         &self,
         worker: WorkerKey,
@@ -33,7 +33,7 @@
             .find(|&run| self.runs[run].worker == worker && self.runs[run].number == number)
     }
 
-    /// Takes room for a run and notes it with its task and worker.
+    /// Adds a run to its task and worker, and charges its room to the workspace and the queue.
     pub(super) fn add_run(&mut self, run: Run) -> RunKey {
         let (step_key, index, worker_key) = (run.step, run.index, run.worker);
         let is_trial = run.trial;
@@ -57,7 +57,7 @@
         key
     }
 
-    /// Gives a run's room back and forgets it.
+    /// Removes a run and gives its room back.
     pub(super) fn remove_run(&mut self, key: RunKey) -> Option<Run> {
         let run = self.runs.remove(key)?;
         let step = &mut self.steps[run.step];
@@ -79,7 +79,7 @@
         Some(run)
     }
 
-    /// A run may go on in the next life of its worker.
+    /// Moves a run to the next life of its worker, where it may go on.
     pub(super) fn move_run(&mut self, key: RunKey, to: WorkerKey) {
         let run = &mut self.runs[key];
         let spec = self.steps[run.step].step();
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes in what became of a start.
+    /// Processes the outcome of a start. `clock` is the worker's clock, if its answer tells it.
     pub fn start_answered(
         &mut self,
         key: RunKey,
@@ -106,14 +106,18 @@
             return;
         };
         let worker_key = run.worker;
-        // The life that it was meant for may be over, and another one have answered.
+        // The life that the start was meant for may have ended and been replaced by another one.
         let is_present = run.sent_to == worker_key;
         let is_other = is_present && clock.is_some_and(|clock| run.is_from_other_clock(clock));
         if let Some(clock) = clock.filter(|_| is_present && !is_other) {
             self.workers[worker_key].clock = Some((clock, now));
         }
         if is_other {
-            tracing::info!(worker = %self.workers[worker_key].entry.life, clock, "a start is answered by another clock");
+            tracing::info!(
+                worker = %self.workers[worker_key].entry.life,
+                clock,
+                "start answered by a worker whose clock went back"
+            );
             let worker = &mut self.workers[worker_key];
             worker.mark_silent(now);
             worker.assume_longest_lease(now);
@@ -156,18 +160,18 @@
             reason = refusal.code(),
             "start refused"
         );
-        let (index, place) = (run.index, LossKey::of(run));
+        let (index, loss_key) = (run.index, LossKey::of(run));
         let is_present = run.sent_to == worker_key;
         self.remove_run(key);
         self.awaiting_verdict.remove(&key);
-        self.forget_loss(place);
+        self.forget_loss(loss_key);
         if is_present {
             self.handle_refusal(worker_key, step_key, index, refusal, now);
         }
         self.stop_gang(step_key, now, "a member of the gang was refused");
     }
 
-    /// A worker has refused a start that was meant for its present life.
+    /// Handles the refusal of a start by the life of the worker that it was meant for.
     fn handle_refusal(
         &mut self,
         worker_key: WorkerKey,
@@ -191,8 +195,8 @@
                 }
             }
             Refusal::Room => worker.health.shunned_until = now + tuning::UNHEALTHY_PAUSE,
-            // Whoever does not understand it now will not in a moment: without a pause it was
-            // sent again in each round of decisions.
+            // A worker that does not know the task will not know it a moment later either: without
+            // a pause the start was sent again in each scheduling round.
             Refusal::UnknownTask => {
                 let task = &mut self.steps[step_key].tasks[index as usize];
                 task.paused_until = now + tuning::UNKNOWN_TASK_PAUSE;
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Orders the stop of a run, unless that was done just now.
+    /// Orders the stop of a run, unless one is ordered already. A planned start is dropped instead.
     pub(super) fn stop_run(&mut self, key: RunKey, now: Millis, reason: &'static str) {
         let Some(run) = self.runs.get(key).filter(|run| run.stop.is_none()) else {
             return;
@@ -233,7 +237,7 @@
         self.order_stop(worker, Some(key), task, number);
     }
 
-    /// One member of a gang cannot go on, so none can.  Other steps are left alone.
+    /// Stops all members of a gang, since one of them cannot go on. Does nothing for other steps.
     pub(super) fn stop_gang(&mut self, key: StepKey, now: Millis, reason: &'static str) {
         if self.steps[key].step().gang {
             self.stop_step(key, now, reason);
@@ -252,7 +256,7 @@
         }
     }
 
-    /// A worker has confirmed a stop: the run ends soon, or never begins.
+    /// Notes that a worker has confirmed a stop: the run ends soon, or never begins.
     pub fn stop_confirmed(&mut self, key: RunKey) {
         let heard = self.next_sequence();
         if let Some(stop) = self.runs.get_mut(key).and_then(|run| run.stop.as_mut()) {
@@ -260,13 +264,13 @@
         }
     }
 
-    /// Tells whether nobody knows if a run goes on.
+    /// Tells whether it is unknown if a run goes on, since its start was not answered.
     pub fn is_doubtful(&self, key: RunKey) -> bool {
         let run = self.runs.get(key);
         run.is_some_and(|run| run.phase == Phase::Doubtful)
     }
 
-    /// Sends again the stops that were not confirmed.
+    /// Repeats stops that were not confirmed within [`tuning::STOP_RETRY`].
     pub(super) fn repeat_stops(&mut self, now: Millis) {
         let due: Vec<RunKey> = self
             .runs
@@ -283,7 +287,7 @@
         }
     }
 
-    /// Takes in the end of a run of ours.
+    /// Processes the end of a known run.
     pub(super) fn run_ended(&mut self, key: RunKey, end: &EndEntry, now: Millis) {
         self.note_survival(key);
         let Some(run) = self.remove_run(key) else {
@@ -310,7 +314,7 @@
         }
     }
 
-    /// Notes progress that a task has saved; a gang shares it.
+    /// Stores the progress that a task has saved; all members of a gang share it.
     pub(super) fn save_progress(&mut self, step: StepKey, index: u32, saved: &str) {
         let step = &mut self.steps[step];
         if step.step().gang {
@@ -322,7 +326,8 @@
         }
     }
 
-    /// A task has ended well; for a gang that counts for all members.
+    /// Marks a task as done, and with it all members of its gang. Has no effect on lasting
+    /// steps, whose tasks run until the job is cancelled.
     pub(super) fn task_done(&mut self, key: StepKey, index: u32, number: u64, now: Millis) {
         let step = &mut self.steps[key];
         if step.step().lasting {
@@ -342,7 +347,14 @@
         } else {
             step.tasks[index as usize].losses.clear();
         }
-        tracing::info!(request = %name.job, step = %name, index, run = number, open = step.open, "task done");
+        tracing::info!(
+            request = %name.job,
+            step = %name,
+            index,
+            run = number,
+            open = step.open,
+            "task done"
+        );
         let copies: Vec<RunKey> = step.tasks[index as usize].runs.clone();
         for copy in copies {
             self.stop_run(copy, now, "another copy is done");
@@ -371,7 +383,7 @@
         let gang = step.step().gang;
         let job_key = step.job;
         step.tasks[index as usize].avoid = Some(worker);
-        // A gang fails as a whole, once for each run, whoever of it told.
+        // A gang fails as a whole: each run counts once, whichever member reported its failure.
         let counted = if gang { 0 } else { index as usize };
         let failed = &mut step.tasks[counted].failed;
         if failed.contains(&number) || lasting {
@@ -381,7 +393,14 @@
         let failures = failed.len();
         let name = step.task_name(index);
         let job = &mut self.jobs[job_key];
-        tracing::info!(request = %job.id, task = %name, run = number, failures, attempts = job.queue.attempts, "task failed");
+        tracing::info!(
+            request = %job.id,
+            task = %name,
+            run = number,
+            failures,
+            attempts = job.queue.attempts,
+            "task failed"
+        );
         if job.state.is_final() {
             return;
         }
@@ -392,13 +411,13 @@
         }
     }
 
-    /// A failure of a run that this owner did not start counts as well.
-    pub(super) fn count_inherited_failure(&mut self, key: StepKey, end: &EndEntry, now: Millis) {
-        let nowhere = WorkerKey::default();
-        self.task_failed(key, end.task.index, end.number, nowhere, now);
+    /// Counts the failure of a run that this owner did not start, or has written off.
+    pub(super) fn count_unknown_failure(&mut self, key: StepKey, end: &EndEntry, now: Millis) {
+        let no_worker = WorkerKey::default();
+        self.task_failed(key, end.task.index, end.number, no_worker, now);
     }
 
-    /// Learns from an end how far the worker can be trusted.
+    /// Updates the health of a worker by how a run ended there.
     fn update_health(&mut self, key: WorkerKey, how: EndKind, now: Millis) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
@@ -418,7 +437,7 @@
         }
     }
 
-    /// All runs on a worker are over without a word.
+    /// Writes off all runs on a worker that was lost without reporting their ends.
     pub(super) fn write_off(&mut self, key: WorkerKey, now: Millis) {
         if !self.workers[key].runs.is_empty() {
             self.keep_lost_life(key);
@@ -427,7 +446,7 @@
         self.drop_runs(key, now);
     }
 
-    /// Forgets all runs on a worker, whatever they are blamed for.
+    /// Removes all runs on a worker, and keeps the losses that were noted for them.
     pub(super) fn drop_runs(&mut self, key: WorkerKey, now: Millis) {
         let planned = self.workers[key].runs.iter().copied();
         let planned: Vec<RunKey> = planned.filter(|&run| self.is_planned(run)).collect();
@@ -443,7 +462,7 @@
             if run.sent_to != key {
                 self.start_not_found(run_key, now);
             }
-            // Another run is blamed for what became of the worker.
+            // A loss that is still only planned was not implicated: other runs were.
             let is_this = |loss: &Loss| loss.planned && loss.run == run.number;
             self.forget_losses(run.step, run.index, is_this);
             self.stop_gang(run.step, now, "a member of the gang is lost");
@@ -454,8 +473,8 @@
         self.workers[key].clear_listed_state();
     }
 
-    /// Logs as one line which runs were lost with their worker, how sure it was that each had
-    /// begun, and for how long: a task that takes its workers down shows as the youngest one.
+    /// Logs in one line the runs that were lost with their worker, each with its phase and its age:
+    /// a task that crashes its workers shows as the youngest one.
     fn log_lost_runs(&self, key: WorkerKey, runs: &[RunKey], now: Millis) {
         if runs.is_empty() {
             return;
