--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -15,23 +15,23 @@
 use crate::policy::Ordering;
 use crate::queue::Queue;
 
-/// How far a job is.
+/// The state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// Nothing has begun.
     Queued,
     /// At least one task has begun.
     Running,
-    /// All tasks have ended well.
+    /// All tasks have succeeded.
     Succeeded,
-    /// A task has failed too often, or can run nowhere.
+    /// A task has failed or crashed its workers too often, or the store cannot record its progress.
     Failed,
-    /// Its caller has cancelled it.
+    /// The caller has cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Tells whether nothing will run any more.
+    /// Tells whether the job has ended, so that none of its tasks is started any more.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Succeeded | Self::Failed | Self::Cancelled)
     }
@@ -40,18 +40,19 @@
 /// A job that ended under a former owner.
 #[derive(Debug)]
 pub struct EndedJob {
-    /// How it ended.
+    /// The final state.
     pub state: JobState,
-    /// The name of its workspace, if it has one.
+    /// The name of the job's workspace, if it has one.
     pub workspace: Option<String>,
 }
 
-/// An end of a run that is not recorded yet: only the worker that lists it can tell a successor.
+/// The end of a run that is not recorded yet, so a successor can learn of it only from the worker
+/// that lists it.
 #[derive(Debug, Clone, Copy)]
 pub struct UnrecordedEnd {
-    /// The worker.
+    /// The worker that lists the end.
     pub worker: WorkerKey,
-    /// The time, step and index of the task.
+    /// The task: occurrence, step and index.
     pub place: (u32, u16, u32),
     /// The run's number.
     pub run: u64,
@@ -60,95 +61,96 @@
 /// One accepted job.
 #[derive(Debug)]
 pub struct Job {
-    /// Its identity.
+    /// The id chosen by the caller.
     pub id: JobId,
-    /// Whose it is, if it is anybody's.
+    /// The workspace that the job belongs to, if any.
     pub workspace: Option<WorkspaceKey>,
     /// What its caller asked for.
     pub spec: Arc<JobSpec>,
-    /// The text for each task, shared by all orders.
+    /// The text that each task is given, shared by all orders.
     pub text: Arc<str>,
-    /// Its queue, as the newest configuration has it.
+    /// The queue as in the latest configuration that has it.
     pub queue: Queue,
-    /// What the policy decided about it.
+    /// What the policy decided about the job.
     pub ordering: Ordering,
-    /// The queue is in the configuration in force.
+    /// Whether the configuration in force has the queue.
     pub queue_configured: bool,
-    /// How far it is, as decided.
+    /// The state as decided by this owner.
     pub state: JobState,
-    /// How far it is, as recorded.
+    /// The state as last recorded in the store.
     pub recorded: JobState,
-    /// Another node knows of its end, so that may be shown before it is recorded.
+    /// Another node knows that the job has ended, so its end may be shown before it is recorded.
     pub known_to_peer: bool,
-    /// What of its progress is not recorded yet.
+    /// Ends of the job's runs that are not recorded yet.
     pub unrecorded_ends: Vec<UnrecordedEnd>,
-    /// When it was taken in, by our clock.
+    /// When this owner took the job over or accepted it, by our clock.
     pub accepted_at: Millis,
-    /// How long its steps take one after the other, by its caller's guesses.
+    /// The length of the critical path of all steps, by the caller's estimates.
     pub critical_path: Millis,
-    /// A former owner may have started its tasks.
+    /// A former owner may have started tasks of the job.
     pub predates: bool,
-    /// Starts of its tasks may have been forgotten with a former owner, so each is recorded first.
+    /// Starts of the job's tasks may have been lost with a former owner that had not recorded them,
+    /// so each further start is recorded before it is sent.
     pub record_starts_first: bool,
-    /// Its steps by time.
+    /// The steps of each occurrence begun so far; only 0 exists for a job without schedule.
     pub occurrences: BTreeMap<u32, Vec<StepKey>>,
-    /// Its progress has changed since it was last recorded.
+    /// The job's progress has changed since it was last recorded.
     pub dirty: bool,
 }
 
-/// A permission to run a step's tasks on a worker.
+/// A permission, given by the advice service, to run a step's tasks on a worker.
 #[derive(Debug, Clone)]
 pub struct Ticket {
-    /// The text that a start must bring.
+    /// The text that is sent with a start.
     pub text: String,
-    /// When it is no longer good.
+    /// When the ticket expires, by our clock.
     pub expires: Millis,
 }
 
-/// What is known about where a step may run.
+/// What the advice service has said about where a step may run.
 #[derive(Debug, Default)]
 pub struct Advice {
-    /// The newest ticket of each good worker.  These are looked up once for each worker of the
-    /// cell when a question is made up.
+    /// The newest ticket for each approved worker.  When a question is composed, this is searched
+    /// once for each worker of the cell.
     pub tickets: BTreeMap<WorkerKey, Ticket>,
-    /// Workers that may not run the step; this never changes.
+    /// Workers that may not run the step.  A rejection is never withdrawn.
     pub bad: BTreeSet<WorkerKey>,
-    /// A question is on its way.
+    /// A question has been sent and not answered yet.
     pub asking: bool,
     /// When the last question was answered or failed.
     pub asked: Millis,
-    /// There was nothing to ask about; this is looked at again from then on.
+    /// The last search found no workers to ask about, and the next one is made from this time on.
     pub search_after: Millis,
 }
 
-/// One step of a job at one time.
+/// One step of one occurrence of a job.
 #[derive(Debug)]
 pub struct StepRun {
     /// The job.
     pub job: JobKey,
-    /// Its name.
+    /// The step's name.
     pub name: StepName,
     /// What the caller asked for, shared with the job.
     pub spec: Arc<JobSpec>,
-    /// Its tasks.
+    /// The tasks of the step.
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
+    /// The number of tasks that are not done.
     pub open: u32,
-    /// All steps before it are done and its time has come.
+    /// All steps that must come before this one are done.
     pub ready: bool,
-    /// Where it may run.
+    /// Where the step may run.
     pub advice: Advice,
-    /// It wakes no parked workers before.
+    /// The earliest time at which the step may wake parked workers again.
     pub next_wake: Millis,
 }
 
 impl StepRun {
-    /// What the caller asked for.
+    /// Returns the step's part of the job's description.
     pub fn step(&self) -> &Step {
         &self.spec.steps[usize::from(self.name.step)]
     }
 
-    /// Names one of the tasks.
+    /// Returns the name of one of the tasks.
     pub fn task_name(&self, index: u32) -> TaskName {
         TaskName {
             step: self.name,
@@ -160,51 +162,51 @@
 /// One task.
 #[derive(Debug, Default)]
 pub struct Task {
-    /// It has ended well.
+    /// The task has succeeded.
     pub done: bool,
-    /// The numbers of the runs that have failed.  An end may be told twice, and that
-    /// of an earlier run after that of a later one.
+    /// The numbers of the runs that have failed.  An end may be reported twice, and the end of an
+    /// earlier run after that of a later one.
     pub failed: Vec<u64>,
-    /// The newest saved progress; empty for none.
+    /// The latest checkpoint; empty for none.
     pub saved: String,
-    /// Runs that are or may be going on.
+    /// Runs that are going on, or may be.
     pub runs: Vec<RunKey>,
-    /// Where it failed or stood still last.
+    /// The worker on which the task last failed or ran too slowly.
     pub avoid: Option<WorkerKey>,
-    /// It is not started before; a worker did not understand its start.
+    /// The task is not started before this time, because a worker did not recognise its last start.
     pub paused_until: Millis,
-    /// How many of its runs were given up as slow by this owner.
+    /// How many runs of the task this owner has found to be slow.
     pub slow_runs: u32,
-    /// Runs that were there when their worker was lost, since the last one that ran well.
+    /// Runs that were on a worker when it was lost, since the last run that ran well.
     pub losses: Vec<Loss>,
 }
 
 impl Task {
-    /// Tells whether it is neither done nor may run.
+    /// Tells whether the task is not done and has no run that may be going on.
     pub fn waits(&self) -> bool {
         !self.done && self.runs.is_empty()
     }
 }
 
-/// How sure it is that a run goes on.
+/// How certain it is that a run is going on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing was sent yet: the start is recorded first.
+    /// Nothing has been sent yet, because the start is recorded first.
     Planned,
-    /// The start is on its way.
+    /// The start has been sent and not answered yet.
     Sent,
-    /// The start brought no answer: it may run, or begin later.
+    /// The start was not answered: the run may be going on, or may begin later.
     Doubtful,
-    /// The worker has confirmed it.
+    /// The worker has confirmed that the run began.
     Running,
 }
 
-/// A stop that has been ordered.
+/// A stop that was ordered for a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Stop {
-    /// When it was last sent.
+    /// When the stop was last sent, by our clock.
     pub sent: Millis,
-    /// When its confirmation was heard; a look sent later shows what came of it.
+    /// When the stop was confirmed.  The answer to a poll sent later shows its effect.
     pub confirmed: Option<Sequence>,
 }
 
@@ -213,47 +215,51 @@
 pub struct Run {
     /// The step.
     pub step: StepKey,
-    /// The task's place in it.
+    /// The task's index in the step.
     pub index: u32,
-    /// The worker.
+    /// The life of the worker on which the run is, or may be.
     pub worker: WorkerKey,
-    /// The life of the worker that the start was meant for.
+    /// The life of the worker to which the start was addressed.  A later life with the same id may
+    /// carry it out.
     pub sent_to: WorkerKey,
-    /// Rises with each start of the task.
+    /// The number of the run, which rises with each start of the task.
     pub number: u64,
-    /// How sure it is that it goes on.
+    /// How certain it is that the run is going on.
     pub phase: Phase,
-    /// When it was first known to have begun, by our clock; 0 before that.
+    /// When the run was first known to have begun, by our clock in milliseconds; 0 before that.
     pub began_at: Millis,
-    /// When that was heard, from the start's answer or a list: only the list of a look that
-    /// was sent later can show that the run is over.
+    /// The point at which that became known, from the answer to the start or from a list of runs.
+    /// Only a list whose poll was sent later can show that the run has ended.
     pub start_heard: Option<Sequence>,
-    /// When it was heard that the start brought no answer.
+    /// The point at which it became known that the start was not answered.
     pub doubt_heard: Option<Sequence>,
-    /// The worker was heard just before the start was sent, so a crash tells even without an answer.
+    /// The worker was heard just before the start was sent, so a crash counts against the task even
+    /// if the start was not answered.
     pub crash_is_evidence: bool,
-    /// By the worker's clock, when the start can no longer take effect.
+    /// When the start can no longer take effect, by the worker's clock.
     pub expires: Millis,
-    /// It goes on from saved progress.
+    /// The run was started from a checkpoint.
     pub restored: bool,
-    /// What was seen of its progress.
+    /// The progress observed so far.
     pub progress: RunProgress,
-    /// Set if it is to end.
+    /// Set once a stop has been ordered.
     pub stop: Option<Stop>,
-    /// It is tried by itself, since its task may crash its workers.
+    /// The run is a trial: nothing else is started beside it, because its task may crash workers.
     pub trial: bool,
-    /// It was seen running long enough not to be to blame if its worker crashes.
+    /// The run is not to blame if its worker crashes: it was seen running for long enough, or its
+    /// unanswered start was barred by a confirmed stop and the worker has answered since.
     pub proven: bool,
 }
 
 impl Run {
-    /// Tells whether a worker's answer to the start shows another clock than the one by which it
-    /// was sent: that one has begun anew, and so has the worker.
+    /// Tells whether a worker's answer to the start shows a clock that has started again since the
+    /// start was sent, which means that the worker has restarted.
     pub(super) fn is_from_other_clock(&self, clock: Millis) -> bool {
         clock + tuning::START_VALIDITY + tuning::LEASE_MARGIN < self.expires
     }
 
-    /// The worker has confirmed that the run began; the first time that was heard counts.
+    /// Notes that the worker has confirmed that the run began.  Only the first confirmation sets
+    /// the time.
     pub(super) fn confirm_started(&mut self, heard: Sequence, now: Millis) {
         self.phase = Phase::Running;
         if self.start_heard.is_none() {
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -1,4 +1,4 @@
-//! What the core wants done, and what it is told of the outcome.
+//! Orders that the core gives to workers and to the advice service, and their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,24 +9,24 @@
 use crate::cell::{RunKey, StepKey, WorkerKey};
 use crate::clock::Millis;
 
-/// Addresses one life of a worker under one epoch.
+/// The life of a worker to which an order is addressed, and the epoch under which it is given.
 #[derive(Debug, Clone)]
 pub struct Addressee {
     /// The worker's key in the core.
     pub worker: WorkerKey,
-    /// The life that is meant.  Workers tell lives apart by the id alone, so another one of this id
-    /// carries the order out.
+    /// The addressed life.  The platform addresses lives by id alone, so another life with this id
+    /// carries the order out as well.
     pub life: Life,
-    /// Where it takes orders.
+    /// The address at which the worker accepts orders.
     pub address: SocketAddr,
-    /// Our epoch; a worker refuses orders of lower ones.
+    /// Our epoch.  A worker refuses orders of lower epochs than it has seen.
     pub epoch: u64,
 }
 
-/// Starts one run.
+/// An order to start a run.
 #[derive(Debug, Clone)]
 pub struct StartOrder {
-    /// The worker.
+    /// The worker that is to run it.
     pub to: Addressee,
     /// The run's key in the core.
     pub run: RunKey,
@@ -34,22 +34,22 @@
     pub task: TaskName,
     /// The run's number.
     pub number: u64,
-    /// The text of the job.
+    /// The job's text, which is passed to the task.
     pub text: Arc<str>,
-    /// By the worker's clock, when the lease ends and the order is void.
+    /// When the run's first lease ends and the order becomes void, by the worker's clock.
     pub due: Millis,
-    /// The permission to run there, if one is needed.
+    /// The ticket that permits the step to run there, if its queue needs one.
     pub ticket: Option<String>,
-    /// The progress to go on from; empty for none.
+    /// The checkpoint to continue from; empty for none.
     pub saved: String,
 }
 
-/// Stops one run.
+/// An order to stop a run.
 #[derive(Debug, Clone)]
 pub struct StopOrder {
-    /// The worker.
+    /// The worker that runs it.
     pub to: Addressee,
-    /// The run's key, if it is one of ours.
+    /// The run's key, unless the run is unknown to the core.
     pub run: Option<RunKey>,
     /// The task.
     pub task: TaskName,
@@ -57,22 +57,22 @@
     pub number: u64,
 }
 
-/// Asks which workers may run a step.
+/// A question to the advice service: which workers may run a step.
 #[derive(Debug, Clone)]
 pub struct AdviceOrder {
     /// The step's key in the core.
     pub step: StepKey,
     /// The step.
     pub name: StepName,
-    /// The lane to use.
+    /// The index of the lane, a node's connection to the advice service, that is to be used.
     pub lane: usize,
-    /// The workers that are meant.
+    /// The workers that the question names, with their ids.
     pub workers: Vec<(WorkerKey, String)>,
-    /// How long the answer should take.
+    /// The expected duration of the answer, in milliseconds.
     pub expected: Millis,
 }
 
-/// Something that the core wants done.
+/// An order that the core has given.
 #[derive(Debug, Clone)]
 pub enum Order {
     /// Start a run.
@@ -83,62 +83,65 @@
     Advise(AdviceOrder),
 }
 
-/// Looks at a worker, and renews the lease of all that runs there.
+/// A poll of a worker: asks for its runs and ends, and renews the lease of its runs.
+///
+/// The worker holds the answer back until a run ends, at most for `wait`.
 #[derive(Debug, Clone)]
 pub struct PollOrder {
-    /// The worker.
+    /// The worker to poll.
     pub to: Addressee,
-    /// Its place in the order of what is sent and heard.
+    /// The poll's place in the order of calls sent and answers heard.
     pub sequence: Sequence,
-    /// When it was sent, by our clock.
+    /// When the poll was sent, by our clock.
     pub sent: Millis,
-    /// The number of the last end that it may forget.
+    /// The number of the last end that the worker may forget, because it and all before are
+    /// recorded.
     pub forget: u64,
-    /// By the worker's clock, when the lease ends; none only looks.
+    /// When the renewed lease ends, by the worker's clock; none to poll without a renewal.
     pub due: Option<Millis>,
-    /// How long to wait for an end.
+    /// How long the worker holds the answer back until a run ends, in milliseconds.
     pub wait: Millis,
 }
 
-/// What became of a start.
+/// The outcome of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartOutcome {
-    /// It runs.
+    /// The run has started.
     Started,
-    /// It does not run and never will.
+    /// The run has not started and never will.
     Refused(Refusal),
-    /// Nobody knows.
+    /// No answer came, so the run may have started or may start later.
     Unanswered,
 }
 
 /// Why a worker did not carry out an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher epoch.
+    /// The worker has seen a higher epoch.
     Epoch,
-    /// The run's number is not above one that has ended there.
+    /// The run's number is not higher than that of a run of the task that has ended there.
     OldRun,
-    /// The order came after its time.
+    /// The order arrived after its due time.
     Late,
-    /// It has no room.
+    /// The worker has no room for the task.
     Room,
-    /// The ticket is missing, too old or for something else.
+    /// The ticket is missing, has expired or is for another step or worker.
     Ticket,
-    /// It says that it is not healthy.
+    /// The worker reports itself as unhealthy.
     Unhealthy,
-    /// It does not know the task.
+    /// The worker does not recognise the task.
     UnknownTask,
-    /// Another life answers at the address.
+    /// Another life of a worker answers at the address.
     Gone,
-    /// No connection came about.
+    /// No connection could be made, so nothing was sent.
     NotSent,
-    /// Too many of our own calls were on their way; nothing was sent, and the worker is not to
-    /// blame.
+    /// Too many calls of this node were in flight, so nothing was sent.  The worker is not at
+    /// fault.
     Busy,
 }
 
 impl Refusal {
-    /// A stable name for counters and logs.
+    /// Returns a stable name for metrics and logs.
     pub fn code(self) -> &'static str {
         match self {
             Self::Epoch => "epoch",
@@ -158,68 +161,68 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndKind {
-    /// Well.
+    /// The run succeeded.
     Done,
-    /// Through its own fault or the worker's.
+    /// The run failed, through its own fault or the worker's.
     Failed,
-    /// By our order.
+    /// The run was stopped by an owner's order.
     Stopped,
-    /// Its lease ran out.
+    /// The lease of the run expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the run's gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of the run's gang did not start in time.
     Alone,
 }
 
-/// A run that goes on, as the worker tells.
+/// A run that is going on, as listed by the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningEntry {
     /// The task.
     pub task: TaskName,
     /// The run's number.
     pub number: u64,
-    /// The newest saved progress.
+    /// The latest checkpoint; empty for none.
     pub saved: String,
-    /// Work done, in hundredths.
+    /// The share of the work that is done, in percent.
     pub percent: u32,
-    /// For a serving task the tail of its answers in ms, else millicores in use.
+    /// For a serving task its tail latency in milliseconds, for all others the millicores in use.
     pub figure: Option<u64>,
 }
 
-/// A run that ended, as the worker tells.
+/// A run that has ended, as listed by the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndEntry {
-    /// Rises by one with each end of this life of the worker.
+    /// The number of the end, which rises by one with each end of this life of the worker.
     pub place: u64,
     /// The task.
     pub task: TaskName,
     /// The run's number.
     pub number: u64,
-    /// How it ended.
+    /// How the run ended.
     pub how: EndKind,
-    /// The newest saved progress.
+    /// The latest checkpoint; empty for none.
     pub saved: String,
 }
 
-/// What a worker tells when it is looked at.
+/// The answer of a worker to a poll.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PollReport {
-    /// When this life of the worker started, in Unix milliseconds, if it tells.
+    /// When this life of the worker started, in Unix milliseconds, if the worker says so.
     pub born: Option<Millis>,
-    /// Its clock.
+    /// The worker's clock, in milliseconds.
     pub clock: Millis,
-    /// All that runs.
+    /// All runs that are going on.
     pub running: Vec<RunningEntry>,
-    /// Ends that it may not forget yet.
+    /// The ends that the worker has not been told to forget.
     pub ended: Vec<EndEntry>,
 }
 
-/// Why a look brought nothing.
+/// Why a poll failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollFailure {
-    /// The worker refused.
+    /// The worker refused the poll, or it was not sent.
     Refused(Refusal),
-    /// No answer, or not a whole one.
+    /// No answer came, or an incomplete one.
     Unanswered,
 }
--- a/src/cell/spec.rs
+++ b/src/cell/spec.rs
@@ -1,19 +1,19 @@
-//! A job as its caller describes it, and the rules that it must keep.
+//! A job as its caller describes it, and the rules for accepting it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
 
-/// The longest text that a job may hand to its tasks, in bytes; the platform's figure.
+/// The longest text that a job may pass to its tasks, in bytes, fixed by the platform.
 pub const MAX_TEXT: usize = 4_000;
-/// The most steps of a job.  A caller's job has a handful; this bounds memory.
+/// The most steps of a job.  Callers' jobs have a handful, so this only bounds memory.
 pub const MAX_STEPS: usize = 64;
-/// The most tasks of a step.  Sites have some dozens; this bounds memory.
+/// The most tasks of a step.  Steps on real sites have some dozens, so this only bounds memory.
 pub const MAX_TASKS: u32 = 10_000;
 /// The most processors a task may ask for, in millicores: far above any worker.
 pub const MAX_MILLICORES: u64 = 10_000_000;
 
-/// The longest guess of a task's time that counts, in milliseconds: a year.
+/// The longest estimate of a task's run time that is used, in milliseconds: a year.
 pub const MAX_ESTIMATE: Millis = 365 * 24 * 3_600_000;
 
 /// The identity of a job, chosen by its caller.
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a task takes of a worker.
+/// The resources that a task takes of a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Demand {
@@ -53,12 +53,12 @@
 }
 
 impl Demand {
-    /// Tells whether this fits into `room`.
+    /// Tells whether this demand fits into `room`.
     pub fn fits(&self, room: &Demand) -> bool {
         self.millicores <= room.millicores && self.memory <= room.memory && self.gpus <= room.gpus
     }
 
-    /// How many times `wanted` fits into this; without bound if it wants nothing.
+    /// Returns how many times `wanted` fits into this room; `u32::MAX` if it wants nothing.
     pub fn times(&self, wanted: &Demand) -> u32 {
         let dimensions = [
             (self.millicores, wanted.millicores),
@@ -72,7 +72,7 @@
         u32::try_from(least).unwrap_or(u32::MAX)
     }
 
-    /// What so many tasks take that each take this.
+    /// Returns the demand of `tasks` tasks that each take this.
     pub fn of_tasks(&self, tasks: u32) -> Demand {
         let tasks = u64::from(tasks);
         Demand {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// This and `other` together.
+    /// Returns the sum of this and `other`.
     pub fn plus(&self, other: &Demand) -> Demand {
         Demand {
             millicores: self.millicores.saturating_add(other.millicores),
@@ -96,7 +96,7 @@
         *self = self.plus(other);
     }
 
-    /// Takes `other` away; what is less than zero becomes zero.
+    /// Returns this less `other`, with zero as the lower bound of each resource.
     pub fn minus(&self, other: &Demand) -> Demand {
         Demand {
             millicores: self.millicores.saturating_sub(other.millicores),
@@ -110,42 +110,44 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: u32,
-    /// What each task takes.
+    /// The resources that each task takes.
     pub demand: Demand,
-    /// The caller's guess of how long a task runs.
+    /// The caller's estimate of how long a task runs, in milliseconds.
     pub estimate: Millis,
-    /// Steps that must be done first.
+    /// The indices of the steps that must be done first.
     pub after: Vec<usize>,
-    /// Tasks save their progress from time to time.
+    /// The tasks write checkpoints from time to time.
     pub checkpoints: bool,
     /// All tasks run together or not at all.
     pub gang: bool,
-    /// The tasks are slower if they do not share a rack.
+    /// The tasks are slower if they are not all in one rack.
     pub same_rack: bool,
     /// A label that the worker must have.
     pub label: Option<String>,
-    /// The rack near which the tasks are fast.
+    /// The rack on which the tasks run faster, for example since their data lies there.
     pub near: Option<String>,
-    /// The most tasks of this step on one worker; zero for no bound.
+    /// The most tasks of this step on one worker; zero for no limit.
     pub per_worker: u32,
-    /// Several copies of a task may run at once.
+    /// A second copy of a slow task may run beside the first.
     pub copies: bool,
     /// The tasks run until the job is cancelled.
     pub lasting: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The name of the image that the tasks run; tasks of one image behave alike.
     pub image: String,
-    /// The response time that a serving task should keep; zero if it does not serve.
+    /// The response time that a serving task should keep, in milliseconds; zero if it does not
+    /// serve.
     pub target: Millis,
-    /// The tasks use only what others leave of a worker's processors.
+    /// The tasks use only the processor time that other tasks leave on a worker.
     pub filler: bool,
-    /// How many lasting tasks may be away by our doing.
+    /// How many lasting tasks the scheduler may take out of service at a time.
     pub may_miss: u32,
 }
 
 impl Step {
-    /// What a task of this step takes of a worker's room.
+    /// Returns the room that a task of this step takes on a worker: none of the processors for a
+    /// filler, which only uses what others leave.
     pub fn room(&self) -> Demand {
         let mut room = self.demand;
         if self.filler {
@@ -154,25 +156,25 @@
         room
     }
 
-    /// How many of its tasks must start together.
+    /// Returns how many tasks of the step must start together.
     pub fn tasks_at_once(&self) -> u32 {
         if self.gang { self.tasks } else { 1 }
     }
 
-    /// Tells whether users of their own wait for the tasks' answers.
+    /// Tells whether the tasks serve requests of users who wait for the answers.
     pub fn serves(&self) -> bool {
         self.target > 0
     }
 }
 
-/// When a job's steps are run again and again.
+/// When the steps of a recurring job run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// How many times.
+    /// The number of occurrences.
     pub times: u32,
-    /// The first time, in milliseconds since 1970.
+    /// The time of the first occurrence, in Unix milliseconds.
     pub first: Millis,
-    /// From one time to the next.
+    /// The time from one occurrence to the next, in milliseconds.
     pub interval: Millis,
 }
 
@@ -180,15 +182,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct JobSpec {
-    /// The text that every task is given, as it came.
+    /// The text that every task is given, unchanged.
     pub text: String,
-    /// The steps; they refer to one another by place.
+    /// The steps, which refer to one another by index.
     pub steps: Vec<Step>,
-    /// Set if the steps run at set times.
+    /// Set if the steps run at fixed times.
     pub schedule: Option<Schedule>,
 }
 
-/// Why a job cannot be taken.
+/// Why a job cannot be accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
     /// The id is not 16 hexadecimal digits.
@@ -200,22 +202,22 @@
     /// The text is too long.
     #[error("the text is longer than {MAX_TEXT} bytes")]
     TextTooLong,
-    /// There are no steps or too many.
+    /// There are no steps, or too many.
     #[error("a job has 1 to {MAX_STEPS} steps")]
     StepCount,
-    /// A step has no tasks or too many.
+    /// A step has no tasks, or too many.
     #[error("a step has 1 to {MAX_TASKS} tasks")]
     TaskCount,
-    /// A step waits for itself, a later step, or one that is not there.
+    /// A step is to come after itself, a later step, or one that does not exist.
     #[error("a step may only come after earlier steps")]
     Order,
-    /// A task asks for more than any worker can have.
+    /// A task asks for more processors than any worker can have.
     #[error("a task asks for too many processors")]
     Demand,
 }
 
 impl SpecError {
-    /// A stable name for counters and callers.
+    /// Returns a stable name for metrics and callers.
     pub fn code(self) -> &'static str {
         match self {
             Self::BadId => "bad_id",
@@ -228,7 +230,7 @@
         }
     }
 
-    /// What is wrong, for a person.
+    /// Returns a sentence for people that says what is wrong.
     pub fn meaning(self) -> &'static str {
         match self {
             Self::BadId => "The id is not 16 hexadecimal digits.",
@@ -243,7 +245,7 @@
 }
 
 impl JobSpec {
-    /// The same job with guesses that times can be reckoned from.
+    /// Limits the estimates to [`MAX_ESTIMATE`], so that times computed from them stay in range.
     pub fn with_bounded_estimates(mut self) -> Self {
         for step in &mut self.steps {
             step.estimate = step.estimate.min(MAX_ESTIMATE);
@@ -251,10 +253,12 @@
         self
     }
 
-    /// Checks the rules; `after` may only name earlier steps, so there are no cycles.
+    /// Checks the job against the rules.
+    ///
+    /// `after` may only name earlier steps, so there are no cycles.
     ///
     /// # Errors
-    /// Returns the first rule that is broken.
+    /// Returns the first rule that is violated.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.text.len() > MAX_TEXT {
             return Err(SpecError::TextTooLong);
