--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -1,4 +1,4 @@
-//! Taking jobs in, cancelling them, and making their steps ready.
+//! Accepting, cancelling and ending jobs, and making their steps ready.
 
 use std::sync::Arc;
 
@@ -10,23 +10,23 @@
 use crate::cell::{Cell, JobKey, StepKey, WorkerKey, urgency};
 use crate::clock::Millis;
 
-/// What became of a cancellation.
+/// The outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelOutcome {
     /// There is no such job.
     Unknown,
-    /// It was final already, and that is recorded.
+    /// The job had ended before, and that is recorded.
     Final,
-    /// It is decided and waits to be recorded.
+    /// The end of the job is decided and waits to be recorded.
     Decided,
 }
 
 impl Cell {
-    /// Takes in a job whose row is durable; a job that is known already stays as it is.
+    /// Adds a job whose row is durable; a job that is known already stays as it is.
     ///
-    /// `progress` is what a former owner recorded, if anything; `predates` tells that
-    /// a former owner may have started its tasks.  While rows are unread that is taken for
-    /// granted: the job may stand in one of them and be handed in again.
+    /// `progress` is what a former owner recorded, if anything; `predates` says that a former owner
+    /// may have started tasks of the job.  While some rows of jobs are unread this is always
+    /// assumed, because the job may be in one of them and have been submitted again.
     pub fn accept(
         &mut self,
         row: &JobRow,
@@ -96,11 +96,11 @@
         }
     }
 
-    /// Another node tells that a job has ended, which a former owner could not record.
+    /// Accepts the end of a job that another node knows of and a former owner could not record.
     pub fn accept_peer_end(&mut self, id: JobId, state: JobState) {
         match self.job_ids.get(&id) {
             Some(&key) => self.apply_peer_end(key, state),
-            // Its row may not have been read yet.
+            // The job's row may not have been read yet.
             None if !self.ended.contains_key(&id) => {
                 self.early_ends.insert(id, state);
             }
@@ -113,9 +113,13 @@
         self.jobs[key].known_to_peer = true;
     }
 
-    /// Ends that are decided and wait to be recorded.  A cancellation is not told
-    /// before it is recorded, since no worker keeps it; nor is an end of which a worker that may
-    /// soon be gone keeps a part.  One that was shown is told on: nodes forget what is not named.
+    /// Returns the ends of jobs that are decided and wait to be recorded, to be sent to other
+    /// nodes.
+    ///
+    /// Two kinds are left out until they are recorded: a cancellation, since no worker could report
+    /// it to a successor, and an end of which a part is known only from a worker that may soon be
+    /// gone.  An end that another node already knows stays in, since nodes drop those that are not
+    /// named any more.
     pub fn unrecorded_job_ends(&self) -> Vec<(JobId, JobState)> {
         self.jobs
             .values()
@@ -126,13 +130,15 @@
             .collect()
     }
 
-    /// Tells whether workers will tell a successor of all that is not recorded of a job.
+    /// Tells whether workers will report to a successor all ends of a job's runs that are not
+    /// recorded.
     fn workers_retain_ends(&self, job: &Job) -> bool {
         let mut ends = job.unrecorded_ends.iter();
         ends.all(|end| self.will_retain_ends(end.worker))
     }
 
-    /// Tells whether a worker can be counted on to tell a successor of what has ended there.
+    /// Tells whether a worker can be relied on to report to a successor which runs have ended
+    /// there.
     fn will_retain_ends(&self, key: WorkerKey) -> bool {
         self.workers.get(key).is_some_and(|worker| {
             let stays = worker.entry.leaving.is_none() && worker.unlisted_since.is_none();
@@ -140,7 +146,7 @@
         })
     }
 
-    /// A worker lists an end that counts for a job.
+    /// Notes an end that counts for a job and that so far only the worker can report.
     pub(super) fn note_unrecorded_end(&mut self, worker: WorkerKey, end: &EndEntry) {
         let Some(step) = self.find_step(end.task) else {
             return;
@@ -152,7 +158,7 @@
         if spec.lasting || job.state.is_final() {
             return;
         }
-        // A gang's failures are counted with its first member.
+        // The failures of a gang are counted for its first member.
         let is_of_all = spec.gang && end.how == EndKind::Failed;
         let index = if is_of_all { 0 } else { end.task.index };
         job.unrecorded_ends.push(UnrecordedEnd {
@@ -162,7 +168,7 @@
         });
     }
 
-    /// Another node knows of these ends now.
+    /// Notes that another node knows of these ends now.
     pub fn mark_ends_known_to_peer(&mut self, ends: &[(JobId, JobState)]) {
         for (id, state) in ends {
             let Some(job) = self.job_ids.get(id).and_then(|&key| self.jobs.get_mut(key)) else {
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Progress that a former owner recorded of a job whose row is not there: it has
+    /// Adds the progress that a former owner recorded of a job whose row was not found: the job has
     /// ended, or its row could not be read yet.
     pub fn add_unread_job_progress(&mut self, id: JobId, progress: JobProgress) {
         if self.job_ids.contains_key(&id) {
@@ -192,12 +198,13 @@
         }
     }
 
-    /// Some jobs' rows could not be read, so runs of unknown jobs may be ours.
+    /// Sets whether the rows of some jobs could not be read, so that runs of unknown jobs may be
+    /// ours.
     pub fn set_incomplete(&mut self, incomplete: bool) {
         self.has_unread_jobs = incomplete;
     }
 
-    /// Makes the steps of one time.
+    /// Creates the steps of one occurrence.
     fn begin_occurrence(&mut self, key: JobKey, time: u32) {
         let job = &self.jobs[key];
         let spec = Arc::clone(&job.spec);
@@ -226,7 +233,7 @@
         self.jobs[key].occurrences.insert(time, keys);
     }
 
-    /// Begins those times of scheduled jobs that are due.
+    /// Begins the occurrences of scheduled jobs that are due.
     pub(super) fn begin_due_occurrences(&mut self) {
         let jobs = &self.jobs;
         let has_ended = |key| jobs.get(key).is_none_or(|job: &Job| job.state.is_final());
@@ -238,7 +245,8 @@
         }
     }
 
-    /// A former owner's time of day may have been ahead of ours.
+    /// Begins the occurrences of which progress is recorded: the former owner's time of day may
+    /// have been ahead of ours.
     fn begin_recorded_occurrences(&mut self, key: JobKey, progress: &JobProgress) {
         let recorded = progress.tasks.iter().map(|task| task.place.0 + 1).max();
         let begun = self.jobs[key].occurrences.len() as u32;
@@ -247,7 +255,7 @@
         }
     }
 
-    /// The next time of a scheduled job, if it is due.
+    /// Returns the next occurrence of a scheduled job, if it is due.
     fn due_occurrence(&self, key: JobKey) -> Option<u32> {
         let today = self.unix_time?;
         let job = &self.jobs[key];
@@ -257,12 +265,12 @@
         (next < schedule.times && today >= at).then_some(next)
     }
 
-    /// Tells the core the time since 1970 in milliseconds, for scheduled jobs.
+    /// Sets the current time in Unix milliseconds, which scheduled jobs follow.
     pub fn set_wall_clock(&mut self, today: Millis) {
         self.unix_time = Some(today);
     }
 
-    /// After a step is done, makes those ready that waited for it.
+    /// Makes the steps of an occurrence ready for which all earlier steps are done.
     pub(super) fn make_ready(&mut self, key: JobKey, time: u32) {
         let Some(keys) = self.jobs[key].occurrences.get(&time).cloned() else {
             return;
@@ -278,7 +286,7 @@
         }
     }
 
-    /// Ends a job that has no step left to do.
+    /// Ends a job as succeeded once all steps of all its occurrences are done.
     pub(super) fn finish_if_done(&mut self, key: JobKey) {
         let job = &self.jobs[key];
         let times = job.spec.schedule.map_or(1, |schedule| schedule.times);
@@ -294,7 +302,7 @@
         }
     }
 
-    /// Decides the end of a job; it is shown once it is recorded.
+    /// Decides the end of a job.  It is shown once it is recorded.
     pub(super) fn end_job(&mut self, key: JobKey, state: JobState) {
         let job = &mut self.jobs[key];
         if job.state.is_final() {
@@ -307,7 +315,7 @@
         self.open_steps.retain(|step| !steps.contains(step));
     }
 
-    /// Cancels a job.  Its tasks are stopped when that is recorded.
+    /// Cancels a job.  Its tasks are stopped once the cancellation is recorded.
     pub fn cancel(&mut self, id: JobId) -> CancelOutcome {
         let Some(&key) = self.job_ids.get(&id) else {
             return match self.ended.contains_key(&id) {
