--- a/src/cell/progress.rs
+++ b/src/cell/progress.rs
@@ -1,26 +1,27 @@
-//! Judging runs by their progress: those that stand still or crawl are given up, and
-//! those that a leaving worker would take with it are moved.
+//! Acting on the progress of runs: slow runs are started again elsewhere, and runs that would not
+//! end before their worker leaves are moved.
 //!
-//! Times here are the worker's own, so that a stall of ours is not taken for one of
-//! the worker's.
+//! Rates are measured by the worker's clock, so that a stall of the owner is not taken for a stall
+//! of the worker.
 
 use crate::cell::job::{Phase, Run};
 use crate::cell::{Cell, RunKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
-/// What was seen of a run's progress.
+/// The observed progress of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RunProgress {
-    /// The first percent that counts, and the worker's clock then.
+    /// The first percentage that counts, and the worker's clock at that time.
     pub first: Option<(u32, Millis)>,
-    /// The newest.
+    /// The latest percentage, and the worker's clock at that time.
     pub last: (u32, Millis),
-    /// It is far slower than it should be.
+    /// The run was found to be far slower than expected.
     pub slow: bool,
 }
 
 impl RunProgress {
-    /// Hundredths of the work for each second, if watched for long enough.
+    /// Returns the rate in percent of the work per second; none until the run has been watched for
+    /// [`tuning::MIN_WATCH_TIME`].
     pub fn rate(&self) -> Option<f64> {
         let (first, from) = self.first?;
         let (last, until) = self.last;
@@ -32,18 +33,20 @@
     }
 }
 
-/// How far the guesses of a queue's callers are off.
+/// By how much the callers of a queue underestimate run times.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EstimateError {
-    /// Runs that ended well.
-    pub seen: u32,
-    /// The largest share of a guess that a run took of late.
-    pub worst: f64,
+    /// The number of successful runs that were compared with their estimates.
+    pub samples: u32,
+    /// The largest recent ratio of a run's time to its estimate, which decays with each run.
+    pub worst_ratio: f64,
 }
 
 impl Run {
-    /// Notes the progress that a look tells; while saved progress is being restored
-    /// nothing moves, so a while after the start does not count.
+    /// Notes the progress that a poll reports.
+    ///
+    /// A run shows no progress while its checkpoint is being restored, so for
+    /// [`tuning::RESTORE_TIME`] after the start of such a run nothing is counted.
     pub(super) fn note_progress(&mut self, percent: u32, clock: Millis, now: Millis) {
         self.progress.last = (percent, clock);
         let settled = !self.restored || now >= self.began_at + tuning::RESTORE_TIME;
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Estimates how long the run still takes at its present rate.
+    /// Estimates how long the run will still take at its present rate, in milliseconds.
     pub(super) fn remaining(&self, estimate: Millis) -> Millis {
         let left = f64::from(100_u32.saturating_sub(self.progress.last.0));
         match self.progress.rate() {
@@ -64,7 +67,9 @@
 }
 
 impl Cell {
-    /// Gives a run up if it is so slow that a new start elsewhere is done sooner.
+    /// Marks a run as slow and shuns its worker if a new start elsewhere would be done in less than
+    /// two thirds of the time that the run still needs.  The run is stopped unless its step allows
+    /// copies.
     pub(super) fn detect_slow_run(&mut self, key: RunKey, now: Millis) {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
@@ -72,7 +77,8 @@
         if spec.lasting || spec.filler || spec.gang || run.stop.is_some() || run.progress.slow {
             return;
         }
-        // Slow on several workers it is the task that is long: it was stopped on each in turn, for ever.
+        // A task that is slow on several workers is long itself.  Without this limit such a task
+        // was stopped on one worker after another, forever.
         if step.tasks[run.index as usize].slow_runs >= tuning::MAX_SLOW_RUNS {
             return;
         }
@@ -113,8 +119,9 @@
         }
     }
 
-    /// The rate that a run should have: that of the same step elsewhere, else that of
-    /// the queue's worst guess so far; none if there is nothing to compare with.
+    /// Returns the rate that a run should have: the median of the same step's runs on other
+    /// workers, else the rate by the worst estimate error of the queue; none if there is nothing to
+    /// compare with.
     fn expected_rate(&self, key: RunKey) -> Option<f64> {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
@@ -125,19 +132,19 @@
             .map(|&other| &self.runs[other])
             .filter(|other| other.worker != run.worker)
             .filter_map(|other| other.progress.rate());
-        // The quickest of them is no measure: tasks of one step differ by more than workers do.
+        // The median and not the fastest, since tasks of one step differ by more than workers do.
         let elsewhere = median(elsewhere.collect());
         if elsewhere > 0.0 {
             return Some(elsewhere);
         }
         let queue = &self.jobs[step.job].queue.name;
-        let guesses = self.estimate_errors.get(queue)?;
-        let enough = guesses.seen >= tuning::MIN_ESTIMATE_SAMPLES;
-        let longest = step.step().estimate.max(1) as f64 * guesses.worst;
+        let error = self.estimate_errors.get(queue)?;
+        let enough = error.samples >= tuning::MIN_ESTIMATE_SAMPLES;
+        let longest = step.step().estimate.max(1) as f64 * error.worst_ratio;
         enough.then_some(100_000.0 / longest)
     }
 
-    /// Learns how far a queue's guesses are off, from a run that ended well.
+    /// Updates the estimate error of a queue from a run that succeeded.
     pub(super) fn learn_estimate_error(&mut self, run: &Run, now: Millis) {
         let step = &self.steps[run.step];
         let estimate = step.step().estimate;
@@ -146,12 +153,13 @@
         }
         let took = now.saturating_sub(run.began_at) as f64 / estimate as f64;
         let queue = self.jobs[step.job].queue.name.clone();
-        let guesses = self.estimate_errors.entry(queue).or_default();
-        guesses.seen += 1;
-        guesses.worst = took.max(guesses.worst * tuning::ESTIMATE_ERROR_DECAY);
+        let error = self.estimate_errors.entry(queue).or_default();
+        error.samples += 1;
+        error.worst_ratio = took.max(error.worst_ratio * tuning::ESTIMATE_ERROR_DECAY);
     }
 
-    /// Places nothing on a worker for a while, and then one task to try it.
+    /// Shuns a worker: nothing is placed on it for [`tuning::SHUN_TIME`], and then only one task
+    /// until a run there succeeds.
     pub(super) fn shun(&mut self, key: WorkerKey, now: Millis) {
         let worker = &mut self.workers[key];
         worker.health.shunned_until = now + tuning::SHUN_TIME;
@@ -163,7 +171,7 @@
         );
     }
 
-    /// Moves what a leaving worker would take with it.
+    /// Stops the runs that would not end before their worker leaves, so that they start elsewhere.
     pub(super) fn stop_runs_outlasting_worker(&mut self, key: WorkerKey, now: Millis) {
         let worker = &self.workers[key];
         let (Some(since), Some(notice)) = (worker.leaving_since, worker.entry.leaving) else {
@@ -195,7 +203,7 @@
     }
 }
 
-/// The middle one of some rates; zero if there are none.
+/// Returns the median of some rates, the upper one of an even number; zero if there are none.
 fn median(mut rates: Vec<f64>) -> f64 {
     rates.sort_unstable_by(f64::total_cmp);
     rates.get(rates.len() / 2).copied().unwrap_or_default()
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -1,7 +1,7 @@
-//! What of a job is kept in the store, and taking it up again.
+//! Recording jobs in the store, and restoring what a former owner recorded.
 //!
-//! A job has two rows: the job as it was accepted, written once by the node that
-//! took it in, and its progress, written by the owner of the cell.
+//! A job has two rows: the job as it was accepted, written once by the node that accepted it, and
+//! its progress, written by the owner of the cell.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,13 +17,13 @@
 /// The row of an accepted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// The job's identity.
+    /// The job's id.
     pub id: JobId,
     /// The queue as it was when the job was accepted.
     pub queue: Queue,
     /// What the caller asked for.
     pub spec: JobSpec,
-    /// Whose it is, as the configuration described the workspace; none of a queue that is public.
+    /// The job's workspace as it was configured when the job was accepted; none for a public queue.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<Workspace>,
 }
@@ -31,20 +31,20 @@
 /// The row of a job's progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobProgress {
-    /// How far the job is.
+    /// The state of the job.
     pub state: JobState,
-    /// What is known of tasks that are done, have failed or have saved progress.
+    /// The progress of tasks that are done, have failed, have a checkpoint or have lost workers.
     pub tasks: Vec<TaskProgress>,
-    /// Starts of its tasks may have been forgotten with a former owner.
+    /// Starts of the job's tasks may have been lost with a former owner that had not recorded them.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub careful: bool,
-    /// The name of the job's workspace: the row outlasts_notice that of the job.
+    /// The name of the job's workspace, kept here because this row outlasts that of the job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<String>,
 }
 
 impl JobProgress {
-    /// Tells whether an end of a run is in it: that of the job covers all.
+    /// Tells whether the end of a run is covered; the end of the job covers all of its runs.
     fn contains(&self, end: &UnrecordedEnd) -> bool {
         let mut tasks = self.tasks.iter();
         let is_in = |task: &TaskProgress| {
@@ -54,36 +54,36 @@
     }
 }
 
-/// What is kept of one task.
+/// The recorded progress of one task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskProgress {
-    /// Time, step and index.
+    /// The task's occurrence, step and index.
     pub place: (u32, u16, u32),
-    /// It has ended well.
+    /// The task has succeeded.
     pub done: bool,
     /// The numbers of the runs that have failed.
     pub failed: Vec<u64>,
-    /// The newest saved progress.
+    /// The latest checkpoint; empty for none.
     pub saved: String,
-    /// Runs under which a worker was or may have been lost.
+    /// Runs on which a worker was lost, or may have been.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub losses: Vec<Loss>,
 }
 
-/// What goes to the store in one transaction.
+/// The changes that are written to the store in one transaction.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Jobs with their progress.
+    /// The jobs with their progress.
     pub rows: Vec<(JobKey, JobId, JobProgress)>,
-    /// For each worker the last end that is in the rows.
+    /// For each worker the number of the last end that is covered by the rows.
     pub ends: Vec<(WorkerKey, u64)>,
-    /// Lives that are over of which nothing is noted but what is in the rows.
+    /// Lives that have ended and of which everything known is covered by the rows.
     pub lost: Vec<Sequence>,
 }
 
 impl Cell {
-    /// Gathers what has changed, at most `most` jobs.  Ends are passed on only if
-    /// every change is in, since a worker forgets them afterwards.
+    /// Collects the changes of at most `most` jobs.  Ends are included only if the batch holds
+    /// every change, because workers are told to forget them once it is recorded.
     pub fn take_batch(&mut self, most: usize) -> Batch {
         let dirty: Vec<JobKey> = self
             .jobs
@@ -110,7 +110,7 @@
         batch
     }
 
-    /// Tells whether a job's progress waits to be recorded.
+    /// Tells whether the progress of any job waits to be recorded.
     pub fn has_unrecorded_progress(&self) -> bool {
         self.jobs.values().any(|job| job.dirty)
     }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The batch is durable.
+    /// Applies that a batch is durable.
     pub fn batch_recorded(&mut self, batch: Batch, now: Millis) {
         for (key, _, progress) in batch.rows {
             let Some(job) = self.jobs.get_mut(key) else {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The batch did not come about; its jobs are recorded with the next one.
+    /// Applies that a batch could not be written; its jobs are recorded with the next one.
     pub fn batch_failed(&mut self, batch: Batch) {
         for (key, _, _) in batch.rows {
             if let Some(job) = self.jobs.get_mut(key) {
@@ -182,8 +182,8 @@
         }
     }
 
-    /// The store will never take the batch: its jobs fail, which takes a short row, so that
-    /// they do not hold up the record of all others.
+    /// Applies that the store will never accept a batch.  Its jobs fail, since a failed job has a
+    /// short row, so that they do not block the recording of all others.
     pub fn batch_rejected(&mut self, batch: Batch) {
         for (key, id, progress) in batch.rows {
             tracing::error!(request = %id, tasks = progress.tasks.len(), "job fails: its progress cannot be recorded");
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Stops what is left of a job that has ended.
+    /// Stops the remaining runs of a job that has ended.
     fn stop_ended_job(&mut self, key: JobKey, now: Millis) {
         let steps: Vec<_> = self.jobs[key]
             .occurrences
@@ -207,13 +207,13 @@
         }
     }
 
-    /// Jobs that ended under a former owner and whose rows are gone.
+    /// Returns the jobs that ended under a former owner and whose own rows are gone.
     pub fn ended_under_former_owner(&self) -> Vec<JobId> {
         self.ended.keys().copied().collect()
     }
 
-    /// Forgets a job whose end has been recorded for long; false if something of it may
-    /// still run.
+    /// Removes a job whose end was recorded long ago.  Returns false, and keeps the job, if one of
+    /// its tasks may still run or its end is not recorded.
     pub fn forget(&mut self, id: JobId) -> bool {
         self.ended.swap_remove(&id);
         let Some(&key) = self.job_ids.get(&id) else {
@@ -238,7 +238,7 @@
         true
     }
 
-    /// Finds a task of a job by its time, step and index.
+    /// Finds a task of a job by its occurrence, step and index.
     fn find_task(&self, key: JobKey, place: (u32, u16, u32)) -> Option<(StepKey, u32)> {
         let (time, step, index) = place;
         let steps = self.jobs[key].occurrences.get(&time)?;
@@ -247,7 +247,7 @@
         known.then_some((step, index))
     }
 
-    /// Takes up the progress that a former owner recorded.
+    /// Restores the progress that a former owner recorded.
     pub(super) fn restore(&mut self, key: JobKey, progress: &JobProgress, now: Millis) {
         let mut times: Vec<u32> = progress.tasks.iter().map(|t| t.place.0).collect();
         times.sort_unstable();
--- a/src/cell/view.rs
+++ b/src/cell/view.rs
@@ -1,4 +1,4 @@
-//! How a job stands, for people: what runs, what is done, and why the rest waits.
+//! The state of a job as shown to people: what runs, what is done, and why the rest waits.
 
 use std::collections::BTreeMap;
 
@@ -10,88 +10,90 @@
 use crate::cell::{Cell, JobKey, StepKey};
 use crate::clock::Millis;
 
-/// Why tasks of a step wait.
+/// Why tasks of a step wait to start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
-    /// Steps before it are not done.
+    /// Steps that must come first are not done.
     EarlierSteps,
     /// The configuration in force does not have the job's queue.
     NoQueue,
-    /// A former owner may still run them.
+    /// Runs of the tasks that a former owner started may still be going on.
     Settling,
-    /// The queue holds as many processors as the policy allows it.
+    /// The queue already uses as many processors as the policy allows.
     Quota,
-    /// Their workspace holds as much as its cap allows it.
+    /// The workspace already uses as much as its cap allows.
     Cap,
-    /// Workers were lost as they began, so they are tried one by one.
+    /// Workers were lost when the tasks began, so they are started one at a time as trials.
     AfterCrash,
-    /// Nobody has said yet which workers may run them.
+    /// The advice service has not approved any worker yet.
     Advice,
-    /// Workers that may run them have room, and their hall is evacuated.
+    /// Workers that may run the tasks have room, but only in a hall that is evacuated.
     Evacuated,
-    /// No worker that may run them has room.
+    /// No worker that may run the tasks has room.
     NoRoom,
-    /// They are about to start.
+    /// The tasks are about to start.
     Soon,
 }
 
-/// Counts the tasks that wait, by the priority of their jobs and by reason.
+/// The number of waiting tasks, by the priority of their jobs and by reason.
 pub type Waiting = BTreeMap<(u32, WaitReason), u32>;
 
-/// How one step stands.
+/// The state of one step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepView {
-    /// Which time of a scheduled job, from zero; zero for all others.
+    /// The occurrence of a scheduled job, from zero; zero for all others.
     pub time: u32,
-    /// The step's place in the job.
+    /// The step's index in the job.
     pub step: u16,
-    /// How many tasks it has.
+    /// The number of tasks.
     pub tasks: u32,
-    /// How many of them are done.
+    /// How many tasks are done.
     pub done: u32,
-    /// How many of them run, or may run.
+    /// How many tasks have a run that is going on, or may be.
     pub running: u32,
     /// How many runs have failed.
     pub failed_runs: u32,
-    /// How many runs were there when their worker was lost, since they last ran well.
+    /// How many runs were on a worker when it was lost, since the last run of the task that ran
+    /// well.
     #[serde(default)]
     pub lost_runs: u32,
-    /// Why the others wait; none if none does.
+    /// Why the other tasks wait; none if no task waits.
     pub waits_for: Option<WaitReason>,
 }
 
-/// What a job's workspace holds against its cap.
+/// The usage and cap of a job's workspace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceView {
-    /// Its name.
+    /// The workspace's name.
     pub name: String,
-    /// What its tasks hold.
+    /// The resources that tasks of the workspace use.
     pub held: Demand,
-    /// What they may hold; zeros stand for no limit.
+    /// The resources that tasks of the workspace may use; zeros stand for no limit.
     pub cap: Demand,
-    /// The version of the configuration that says so, unless the workspace is not there any more.
+    /// The version of the configuration in force, which sets the cap.  If it does not have the
+    /// workspace any more, the cap is the last one that was set.
     pub configuration: u64,
 }
 
-/// How a job stands.
+/// The state of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job's identity, 16 hexadecimal digits.
+    /// The job's id, 16 hexadecimal digits.
     pub id: String,
     /// The queue's name.
     pub queue: String,
-    /// Its workspace, if it has one and has not ended under a former owner.
+    /// The job's workspace; none if it has none or if the job ended under a former owner.
     #[serde(default)]
     pub workspace: Option<WorkspaceView>,
-    /// How far it is.
+    /// The state of the job as a whole.
     pub state: JobState,
-    /// Its steps; none of a job that ended under a former owner.
+    /// The job's steps; empty for a job that ended under a former owner.
     pub steps: Vec<StepView>,
 }
 
 impl JobView {
-    /// A job of which only the state is known.
+    /// Makes the view of a job of which only the state is known.
     pub fn of_state(id: JobId, state: JobState) -> Self {
         Self {
             id: id.to_string(),
@@ -104,7 +106,7 @@
 }
 
 impl Cell {
-    /// Tells how a job stands; none if it is not known.
+    /// Returns the state of a job; none if the job is not known.
     pub fn view(&self, id: JobId, now: Millis) -> Option<JobView> {
         let state = self.state(id)?;
         let job = self.job_ids.get(&id).and_then(|&key| self.jobs.get(key));
