--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -219,7 +219,7 @@
                 break;
             }
             looked_at += 1;
-            if advice.tickets.contains_key(&worker) || advice.bad.contains(&worker) {
+            if advice.tickets.contains_key(&worker) || advice.rejected.contains(&worker) {
                 continue;
             }
             if let Some(candidate) = self.candidate(key, worker, needed, round.now) {
@@ -291,7 +291,7 @@
         self.good_share
             .get(queue)
             .copied()
-            .unwrap_or(tuning::INITIAL_GOOD_SHARE)
+            .unwrap_or(tuning::INITIAL_APPROVED_SHARE)
     }
 
     /// Tells whether a ticket for the worker can still be used.
@@ -329,8 +329,8 @@
         let learned = self
             .good_share
             .entry(job.queue.name.clone())
-            .or_insert(tuning::INITIAL_GOOD_SHARE);
-        *learned += tuning::GOOD_SHARE_WEIGHT * (share - *learned);
+            .or_insert(tuning::INITIAL_APPROVED_SHARE);
+        *learned += tuning::APPROVED_SHARE_WEIGHT * (share - *learned);
         for (worker, id) in &order.workers {
             match good.iter().find(|(good_id, _)| good_id == id) {
                 Some((_, text)) => {
@@ -342,7 +342,7 @@
                 }
                 None => {
                     step.advice.tickets.remove(worker);
-                    step.advice.bad.insert(*worker);
+                    step.advice.rejected.insert(*worker);
                 }
             }
         }
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -114,7 +114,7 @@
     /// once for each worker of the cell.
     pub tickets: BTreeMap<WorkerKey, Ticket>,
     /// Workers that may not run the step.  A rejection is never withdrawn.
-    pub bad: BTreeSet<WorkerKey>,
+    pub rejected: BTreeSet<WorkerKey>,
     /// A question has been sent and not answered yet.
     pub asking: bool,
     /// When the last question was answered or failed.
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -316,7 +316,7 @@
     fn remove_worker(&mut self, key: WorkerKey, now: Millis) -> Option<Worker> {
         for step in self.steps.values_mut() {
             step.advice.tickets.remove(&key);
-            step.advice.bad.remove(&key);
+            step.advice.rejected.remove(&key);
         }
         if self.workers.contains_key(key) {
             self.keep_lost_life(key);
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -274,7 +274,7 @@
             unix_time: None,
             awaits_worker_list: false,
             evacuated_halls: Some(Arc::default()),
-            idle_reserve: tuning::MAX_IDLE_AWAKE,
+            idle_reserve: tuning::IDLE_RESERVE,
             parked: 0,
             parking_reviewed: 0,
             unparked: Vec::new(),
--- a/src/cell/parking.rs
+++ b/src/cell/parking.rs
@@ -159,7 +159,7 @@
         let (worker, step) = (&self.workers[key], &self.steps[step]);
         worker.allows(step.step(), &self.jobs[step.job].queue.service)
             && step.step().room().fits(&worker.entry.capacity)
-            && !step.advice.bad.contains(&key)
+            && !step.advice.rejected.contains(&key)
             && !self.is_evacuated(worker)
     }
 
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -78,7 +78,7 @@
     /// For each worker the number of the last end that is covered by the rows.
     pub ends: Vec<(WorkerKey, u64)>,
     /// Lives that have ended and of which everything known is covered by the rows.
-    pub lost: Vec<Sequence>,
+    pub ended_lives: Vec<Sequence>,
 }
 
 impl Cell {
@@ -99,7 +99,7 @@
             batch.rows.push((key, job.id, progress));
         }
         if dirty.len() <= most {
-            batch.lost = self.lives_to_release();
+            batch.ended_lives = self.lives_to_release();
             batch.ends = self
                 .workers
                 .iter()
@@ -165,7 +165,7 @@
                 self.stop_ended_job(key, now);
             }
         }
-        self.release_lives(&batch.lost);
+        self.release_lives(&batch.ended_lives);
         for (key, place) in batch.ends {
             if let Some(worker) = self.workers.get_mut(key) {
                 worker.recorded_end = worker.recorded_end.max(place);
--- a/src/cell/tuning.rs
+++ b/src/cell/tuning.rs
@@ -40,7 +40,7 @@
 pub const MAX_POLL_WAIT: Millis = 1_500;
 /// How many idle workers of a service stay awake as a reserve, at a cost of some 400 polls per
 /// second.  All others are parked.
-pub const MAX_IDLE_AWAKE: usize = 600;
+pub const IDLE_RESERVE: usize = 600;
 /// The interval at which workers are parked or unparked to keep the reserve.
 pub const PARKING_INTERVAL: Millis = 500;
 /// A worker is not parked again within this time of being unparked.
@@ -69,9 +69,9 @@
 /// of the owner some tens.
 pub const TICKET_MARGIN: Millis = 150;
 /// The share of workers assumed to be approved for a step before any answer was received.
-pub const INITIAL_GOOD_SHARE: f64 = 0.5;
+pub const INITIAL_APPROVED_SHARE: f64 = 0.5;
 /// The weight of one answer in the moving average of the share of approved workers.
-pub const GOOD_SHARE_WEIGHT: f64 = 0.1;
+pub const APPROVED_SHARE_WEIGHT: f64 = 0.1;
 /// A question names workers whose expected room is this many times the room that is needed.
 pub const ADVICE_SURPLUS: f64 = 1.3;
 /// The most workers in one question.  The platform accepts 100.
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -122,7 +122,7 @@
         if batch.rows.is_empty() && workers.rows() == 0 && !release {
             self.most_jobs.store(MAX_JOBS, Ordering::Relaxed);
             self.mark_roster_written(roster, &workers);
-            if !batch.ends.is_empty() || !batch.lost.is_empty() {
+            if !batch.ends.is_empty() || !batch.ended_lives.is_empty() {
                 self.apply_recorded(batch);
             }
             return;
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -328,7 +328,7 @@
         let copy = Batch {
             rows: batch.rows.clone(),
             ends: batch.ends.clone(),
-            lost: batch.lost.clone(),
+            ended_lives: batch.ended_lives.clone(),
         };
         self.cell.batch_recorded(batch, self.now);
         copy
--- a/tests/look_times.rs
+++ b/tests/look_times.rs
@@ -41,7 +41,7 @@
 
 #[test]
 fn parked_workers_make_no_look_wait_longer() {
-    let wait = wait_among_awake(6_000, tuning::MAX_IDLE_AWAKE);
+    let wait = wait_among_awake(6_000, tuning::IDLE_RESERVE);
     assert_eq!(wait, 800);
 }
 
--- a/tests/parked_workers.rs
+++ b/tests/parked_workers.rs
@@ -81,8 +81,8 @@
 #[parameterized(
     small = { 48, 48 },
     grown = { 350, 350 },
-    a_fleet = { FLEET, tuning::MAX_IDLE_AWAKE },
-    twice_the_fleet = { 12_000, tuning::MAX_IDLE_AWAKE },
+    a_fleet = { FLEET, tuning::IDLE_RESERVE },
+    twice_the_fleet = { 12_000, tuning::IDLE_RESERVE },
 )]
 fn an_idle_cell_keeps_a_reserve_awake_and_in_the_roster(workers: u16, wanted: usize) {
     let bench = fleet(workers);
@@ -98,7 +98,7 @@
 
     let next = cell((0..FLEET).map(worker), roster);
 
-    assert!(awake(&next).len() <= 2 * tuning::MAX_IDLE_AWAKE);
+    assert!(awake(&next).len() <= 2 * tuning::IDLE_RESERVE);
 }
 
 #[test]
@@ -127,7 +127,7 @@
     assert_eq!(started.len(), 2_000);
     let reserve = awake(&bench.cell).len() - started.len();
     assert!(
-        (tuning::MAX_IDLE_AWAKE / 2..=2 * tuning::MAX_IDLE_AWAKE).contains(&reserve),
+        (tuning::IDLE_RESERVE / 2..=2 * tuning::IDLE_RESERVE).contains(&reserve),
         "{reserve}"
     );
 }
@@ -161,7 +161,7 @@
 
     // Assert
     assert!(unrecorded >= started.len(), "{unrecorded}");
-    assert!(awake(&bench.cell).len() <= 2 * tuning::MAX_IDLE_AWAKE);
+    assert!(awake(&bench.cell).len() <= 2 * tuning::IDLE_RESERVE);
 }
 
 #[parameterized(
