--- a/src/cell/look.rs
+++ b/src/cell/poll.rs
@@ -20,7 +20,7 @@
 
 impl Cell {
     /// Processes the answer to a look.
-    pub fn look_answered(&mut self, order: &PollOrder, look: &PollReport, now: Millis) {
+    pub fn poll_answered(&mut self, order: &PollOrder, look: &PollReport, now: Millis) {
         let key = order.to.worker;
         let heard = self.next_sequence();
         let Some(worker) = self.workers.get_mut(key) else {
@@ -77,7 +77,7 @@
     }
 
     /// Processes a look that failed.
-    pub fn look_failed(&mut self, key: WorkerKey, failure: PollFailure, now: Millis) {
+    pub fn poll_failed(&mut self, key: WorkerKey, failure: PollFailure, now: Millis) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -252,8 +252,8 @@
                 continue;
             };
             match worker.look(&order, self.now) {
-                Ok(look) => self.cell.look_answered(&order, &look, self.now),
-                Err(failure) => self.cell.look_failed(key, failure, self.now),
+                Ok(look) => self.cell.poll_answered(&order, &look, self.now),
+                Err(failure) => self.cell.poll_failed(key, failure, self.now),
             }
         }
     }
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -73,7 +73,7 @@
             (Ok(()), None) => {}
             (Err(Some(Refusal::Gone)), _) => {
                 self.cell()
-                    .look_failed(order.to.worker, PollFailure::Refused(Refusal::Gone), now);
+                    .poll_failed(order.to.worker, PollFailure::Refused(Refusal::Gone), now);
                 self.wake.notify_one();
             }
             (Err(refusal), _) => {
@@ -162,7 +162,7 @@
         match answer {
             Ok(look) => {
                 let news = !look.ended.is_empty() || order.due.is_none();
-                self.cell().look_answered(&order, &look, now);
+                self.cell().poll_answered(&order, &look, now);
                 if news {
                     self.record.notify_one();
                 }
@@ -172,7 +172,7 @@
                 Looked::Answered
             }
             Err(failure) => {
-                self.cell().look_failed(key, failure, now);
+                self.cell().poll_failed(key, failure, now);
                 if failure == PollFailure::Refused(Refusal::Epoch) {
                     self.shared.metrics.refusal(Refusal::Epoch.code());
                 }
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -195,7 +195,7 @@
     // Act
     bench
         .cell
-        .look_failed(lost, PollFailure::Unanswered, bench.now);
+        .poll_failed(lost, PollFailure::Unanswered, bench.now);
     bench.pass(200);
     let before = starts(&bench.decide());
     for _ in 0..AFTER_LEASES / 500 {
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -62,7 +62,7 @@
     bench.end(first.task, first.number, EndKind::Failed);
     bench
         .cell
-        .look_failed(lost, PollFailure::Unanswered, bench.now);
+        .poll_failed(lost, PollFailure::Unanswered, bench.now);
     for _ in 0..50 {
         bench.pass(100);
         let other = (0..2).map(|n| bench.worker(n)).find(|&key| key != lost);
@@ -121,7 +121,7 @@
     let other = other.expect("another worker");
     bench
         .cell
-        .look_failed(lost, PollFailure::Unanswered, bench.now);
+        .poll_failed(lost, PollFailure::Unanswered, bench.now);
     let again = starts_elsewhere(&mut bench, other);
     assert!(bench.now - began > 3_500, "the lease of 3.5 s has run out");
     assert_eq!(again[0].to.worker, other);
@@ -133,7 +133,7 @@
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     let order = bench.start_all().remove(0);
-    bench.cell.look_failed(
+    bench.cell.poll_failed(
         order.to.worker,
         PollFailure::Refused(Refusal::Gone),
         bench.now,
@@ -582,7 +582,7 @@
     let cut = cell.worker_keys()[0];
 
     // Act.
-    cell.look_failed(cut, PollFailure::Unanswered, 1_050);
+    cell.poll_failed(cut, PollFailure::Unanswered, 1_050);
     cell.tick(1_100);
 
     // Assert: the next owner must wait for it as well.
@@ -603,7 +603,7 @@
     let silent = bench.worker(0);
     bench
         .cell
-        .look_failed(silent, PollFailure::Unanswered, bench.now);
+        .poll_failed(silent, PollFailure::Unanswered, bench.now);
     bench.pass(200);
     let (_, named) = bench.cell.roster();
 
@@ -642,7 +642,7 @@
     bench.look_at(reached);
     bench
         .cell
-        .look_failed(lost, PollFailure::Unanswered, bench.now);
+        .poll_failed(lost, PollFailure::Unanswered, bench.now);
     bench.pass(100);
     let early = bench.start_all();
     let (_, passed_on) = bench.cell.roster();
@@ -741,7 +741,7 @@
     bench.look_at_all();
 
     // Act.
-    bench.cell.look_answered(&order, &overtaken, bench.now);
+    bench.cell.poll_answered(&order, &overtaken, bench.now);
 
     // Assert: the task starts again, since nothing of it runs.
     assert_eq!(bench.cell.counts().adopted, 0);
@@ -851,7 +851,7 @@
     let began = bench.now;
     bench
         .cell
-        .look_failed(lost, PollFailure::Unanswered, bench.now);
+        .poll_failed(lost, PollFailure::Unanswered, bench.now);
 
     // Act.
     let again = starts_elsewhere(&mut bench, other);
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -299,7 +299,7 @@
     pub fn hear(&mut self, key: WorkerKey, look: &PollReport) {
         let order = self.cell.poll_order(key, self.now);
         let order = order.expect("a known worker");
-        self.cell.look_answered(&order, look, self.now);
+        self.cell.poll_answered(&order, look, self.now);
     }
 
     /// Looks at one worker a moment later, which lists this.
--- a/tests/crashing_tasks.rs
+++ b/tests/crashing_tasks.rs
@@ -209,8 +209,8 @@
                 None => Err(PollFailure::Unanswered),
             };
             match answer {
-                Ok(look) => self.cell.look_answered(&order, &look, self.now),
-                Err(failure) => self.cell.look_failed(key, failure, self.now),
+                Ok(look) => self.cell.poll_answered(&order, &look, self.now),
+                Err(failure) => self.cell.poll_failed(key, failure, self.now),
             }
         }
     }
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -313,7 +313,7 @@
     // Act: the next call to it brings no answer.
     bench
         .cell
-        .look_failed(runs, PollFailure::Unanswered, bench.now);
+        .poll_failed(runs, PollFailure::Unanswered, bench.now);
     bench.pass(100);
     bench.look_at(other);
     let early = starts(&bench.decide());
--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -121,12 +121,12 @@
             let entry = self.entries.iter().find(|entry| entry.life.id == life.id);
             let Some(entry) = entry else {
                 let failure = PollFailure::Refused(Refusal::Gone);
-                self.cell.look_failed(key, failure, self.now);
+                self.cell.poll_failed(key, failure, self.now);
                 continue;
             };
             if self.down.contains(&entry.life.id) {
                 let failure = PollFailure::Unanswered;
-                self.cell.look_failed(key, failure, self.now);
+                self.cell.poll_failed(key, failure, self.now);
                 continue;
             }
             let look = PollReport {
@@ -135,7 +135,7 @@
                 running: Vec::new(),
                 ended: Vec::new(),
             };
-            self.cell.look_answered(&order, &look, self.now);
+            self.cell.poll_answered(&order, &look, self.now);
         }
         self.cell.tick(self.now);
     }
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -392,7 +392,7 @@
     let only = bench.worker(0);
     bench
         .cell
-        .look_failed(only, PollFailure::Unanswered, bench.now);
+        .poll_failed(only, PollFailure::Unanswered, bench.now);
     let told = bench.cell.seal_silent(bench.now);
 
     // Act: the worker answers again.
--- a/tests/late_entries.rs
+++ b/tests/late_entries.rs
@@ -65,7 +65,7 @@
 /// Another life answers at the address.
 fn answer_gone(bench: &mut Bench, order: &PollOrder) {
     let gone = PollFailure::Refused(Refusal::Gone);
-    bench.cell.look_failed(order.to.worker, gone, bench.now);
+    bench.cell.poll_failed(order.to.worker, gone, bench.now);
 }
 
 /// A worker that holds nothing answers.
@@ -74,7 +74,7 @@
         clock: bench.now,
         ..PollReport::default()
     };
-    bench.cell.look_answered(order, &look, bench.now);
+    bench.cell.poll_answered(order, &look, bench.now);
 }
 
 /// The former life is lost, the next one is listed, answers and gets a task.
@@ -204,7 +204,7 @@
     for _ in 0..40 {
         bench
             .cell
-            .look_failed(order.to.worker, PollFailure::Unanswered, bench.now);
+            .poll_failed(order.to.worker, PollFailure::Unanswered, bench.now);
         bench.pass(250);
         bench.record();
     }
--- a/tests/late_lists.rs
+++ b/tests/late_lists.rs
@@ -30,7 +30,7 @@
 
 /// A list arrives.
 fn arrives(bench: &mut Bench, sent: PollOrder, list: &PollReport) {
-    bench.cell.look_answered(&sent, list, bench.now);
+    bench.cell.poll_answered(&sent, list, bench.now);
 }
 
 /// The answer to a start arrives.
--- a/tests/leaving_ends.rs
+++ b/tests/leaving_ends.rs
@@ -59,7 +59,7 @@
     bench.look_at_all();
     bench
         .cell
-        .look_failed(first.to.worker, PollFailure::Unanswered, bench.now);
+        .poll_failed(first.to.worker, PollFailure::Unanswered, bench.now);
     assert_eq!(bench.cell.unrecorded_job_ends(), []);
 }
 
@@ -79,7 +79,7 @@
     let while_it_leaves = bench.cell.unrecorded_job_ends();
     bench
         .cell
-        .look_failed(first.to.worker, PollFailure::Unanswered, bench.now);
+        .poll_failed(first.to.worker, PollFailure::Unanswered, bench.now);
 
     // Assert
     assert_eq!(while_it_leaves, shown);
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -242,8 +242,8 @@
             None => Err(PollFailure::Refused(Refusal::NotSent)),
         };
         match answer {
-            Ok(look) => self.cell.look_answered(order, &look, now),
-            Err(failure) => self.cell.look_failed(order.to.worker, failure, now),
+            Ok(look) => self.cell.poll_answered(order, &look, now),
+            Err(failure) => self.cell.poll_failed(order.to.worker, failure, now),
         }
     }
 
--- a/tests/outlived_starts.rs
+++ b/tests/outlived_starts.rs
@@ -33,7 +33,7 @@
 /// Another life answers at the worker's address.
 fn lose(bench: &mut Bench, order: &StartOrder) {
     let gone = PollFailure::Refused(Refusal::Gone);
-    bench.cell.look_failed(order.to.worker, gone, bench.now);
+    bench.cell.poll_failed(order.to.worker, gone, bench.now);
     bench.pass(10);
 }
 
@@ -59,7 +59,7 @@
         clock: bench.now,
         ..PollReport::default()
     };
-    bench.cell.look_answered(&held, &look, bench.now);
+    bench.cell.poll_answered(&held, &look, bench.now);
     lose(&mut bench, &second);
     bench.record();
 
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -189,7 +189,7 @@
     for _ in 0..100 {
         bench
             .cell
-            .look_failed(first, PollFailure::Unanswered, bench.now);
+            .poll_failed(first, PollFailure::Unanswered, bench.now);
         bench.hear_of(other, Vec::new(), Vec::new());
         bench.pass(90);
     }
@@ -290,7 +290,7 @@
     bench.hear(first, &answer);
     bench
         .cell
-        .look_failed(first, PollFailure::Unanswered, bench.now);
+        .poll_failed(first, PollFailure::Unanswered, bench.now);
     let until = bench.now + silence;
     let mut again = 0;
     while bench.now < until {
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -188,8 +188,8 @@
         }
         let has_ends = matches!(&answer, Ok(list) if !list.ended.is_empty());
         match answer {
-            Ok(list) => cell.look_answered(order, &list, self.now),
-            Err(failure) => cell.look_failed(order.to.worker, failure, self.now),
+            Ok(list) => cell.poll_answered(order, &list, self.now),
+            Err(failure) => cell.poll_failed(order.to.worker, failure, self.now),
         }
         if has_ends {
             self.reaches(Moment::Ends);
--- a/tests/told_lapses.rs
+++ b/tests/told_lapses.rs
@@ -30,7 +30,7 @@
     bench.hear_of(key, Vec::new(), vec![done]);
     bench
         .cell
-        .look_failed(key, PollFailure::Unanswered, bench.now);
+        .poll_failed(key, PollFailure::Unanswered, bench.now);
     bench.pass(silence);
     let (_, roster) = bench.cell.roster();
     assert_eq!(roster.len(), 1, "a successor is to hear of the end from it");
@@ -88,7 +88,7 @@
     bench.cell.unlist_worker(&worker(0).life.id, bench.now);
     bench
         .cell
-        .look_failed(key, PollFailure::Unanswered, bench.now);
+        .poll_failed(key, PollFailure::Unanswered, bench.now);
     bench.pass(3_000);
     let during_the_lease = bench.cell.roster().1.len();
     bench.pass(2_000);
@@ -109,7 +109,7 @@
     for key in bench.cell.worker_keys() {
         bench
             .cell
-            .look_failed(key, PollFailure::Unanswered, bench.now);
+            .poll_failed(key, PollFailure::Unanswered, bench.now);
     }
 
     let lapses = bench.cell.seal_silent(bench.now);
--- a/tests/unread_jobs.rs
+++ b/tests/unread_jobs.rs
@@ -152,7 +152,7 @@
     // Act.
     bench
         .cell
-        .look_failed(worker, PollFailure::Unanswered, bench.now);
+        .poll_failed(worker, PollFailure::Unanswered, bench.now);
     bench.pass(tuning::NAME_JOBS_AFTER + 10);
     let before = entry(&bench);
     bench.record();
@@ -210,7 +210,7 @@
     let silent = bench.worker(0);
     bench
         .cell
-        .look_failed(silent, PollFailure::Unanswered, bench.now);
+        .poll_failed(silent, PollFailure::Unanswered, bench.now);
 
     // Act.
     let other = bench.worker(1);
