--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -207,7 +207,7 @@
     let newer = members
         .iter()
         .filter(|(_, member)| member.configuration > version)
-        .max_by_key(|(_, member)| (member.configuration, member.heard));
+        .max_by_key(|(_, member)| (member.configuration, member.last_heard));
     newer.map(|(_, member)| member.address)
 }
 
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -241,7 +241,7 @@
         .members()
         .iter()
         .filter(|(_, m)| m.reaches_store && !m.leaving)
-        .filter(|(_, m)| now.saturating_sub(m.heard) < VOUCH_WINDOW)
+        .filter(|(_, m)| now.saturating_sub(m.last_heard) < VOUCH_WINDOW)
         .any(|(_, m)| m.strength >= enough)
 }
 
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -52,7 +52,7 @@
     /// Identifies the current start of its process; zero if it was never heard.
     pub boot: u64,
     /// When it was last heard; zero if never.
-    pub heard: Millis,
+    pub last_heard: Millis,
     /// The time from which its silence is counted, if it was not heard later.
     pub silent_since: Millis,
     /// It reaches the store directly.
@@ -84,7 +84,7 @@
             address: row.address,
             millicores: row.millicores,
             boot: 0,
-            heard: 0,
+            last_heard: 0,
             silent_since: now,
             reaches_store: false,
             leaving: false,
@@ -101,7 +101,7 @@
 
     /// Tells whether it was heard within the last `window`.
     pub fn was_heard(&self, window: Millis, now: Millis) -> bool {
-        self.heard > 0 && now.saturating_sub(self.heard) < window
+        self.last_heard > 0 && now.saturating_sub(self.last_heard) < window
     }
 
     fn row(&self) -> NodeRow {
@@ -182,7 +182,7 @@
             return refused;
         };
         member.boot = beat.boot;
-        member.heard = now;
+        member.last_heard = now;
         member.reaches_store = beat.reaches_store;
         if beat.reaches_store {
             member.no_store_asked = 0;
@@ -364,7 +364,7 @@
         let silent: Vec<String> = self
             .known
             .iter()
-            .filter(|(_, m)| now.saturating_sub(m.heard.max(m.silent_since)) >= FORGET_AFTER)
+            .filter(|(_, m)| now.saturating_sub(m.last_heard.max(m.silent_since)) >= FORGET_AFTER)
             .map(|(name, _)| name.clone())
             .collect();
         for name in silent {
@@ -425,9 +425,9 @@
             .known
             .values()
             .filter(|member| member.reaches_store && !member.leaving)
-            .filter(|member| now.saturating_sub(member.heard) < window)
+            .filter(|member| now.saturating_sub(member.last_heard) < window)
             .collect();
-        relays.sort_by_key(|member| Reverse(member.heard));
+        relays.sort_by_key(|member| Reverse(member.last_heard));
         relays.iter().map(|member| member.address).collect()
     }
 }
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -21,7 +21,7 @@
     /// The address of the owner of that epoch; none while no owner is known.
     pub address: Option<SocketAddr>,
     /// When the owner's last heartbeat was received; none if there was none.
-    pub heard: Option<Millis>,
+    pub last_heard: Option<Millis>,
     /// When a node was last known to be claiming or loading the cell; it gets time to finish.
     pub claim_seen: Option<Millis>,
     /// The number of jobs of which no task has started, by queue, as the owner last reported it.
@@ -35,7 +35,7 @@
         Self {
             epoch: 0,
             address: None,
-            heard: None,
+            last_heard: None,
             claim_seen: None,
             pending: Vec::new(),
             interval: HEARTBEAT_INTERVAL,
@@ -65,12 +65,12 @@
     /// Time since the owner was heard or a claim was seen, in milliseconds; the maximum if there
     /// was neither.
     fn inactivity(&self, now: Millis) -> Millis {
-        elapsed(self.heard.max(self.claim_seen), now)
+        elapsed(self.last_heard.max(self.claim_seen), now)
     }
 
     /// Time since the owner's last heartbeat, in milliseconds; the maximum if there was none.
     pub fn silence(&self, now: Millis) -> Millis {
-        elapsed(self.heard, now)
+        elapsed(self.last_heard, now)
     }
 
     /// Tells whether this heartbeat comes from the known owner and says that it no longer owns the
@@ -81,7 +81,7 @@
             .is_some_and(|own| own.to_string() == beat.address);
         // A claimant that is still loading the cell does not say that it owns it either, but has
         // not been heard as the owner yet.
-        let retired = self.heard.is_some() && beat.epoch == self.epoch && !beat.owns;
+        let retired = self.last_heard.is_some() && beat.epoch == self.epoch && !beat.owns;
         is_owner && (beat.leaving || retired)
     }
 
@@ -96,7 +96,7 @@
     /// Forgets the owner and any claim, so that the cell counts as vacant at once.
     pub fn clear(&mut self) {
         self.address = None;
-        self.heard = None;
+        self.last_heard = None;
         self.claim_seen = None;
         self.interval = HEARTBEAT_INTERVAL;
     }
@@ -105,7 +105,7 @@
     pub fn await_claimant(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
         self.epoch = epoch;
         self.address = address;
-        self.heard = None;
+        self.last_heard = None;
         self.claim_seen = Some(now);
         self.interval = HEARTBEAT_INTERVAL;
     }
@@ -117,16 +117,16 @@
         (age <= suspicion_timeout(HEARTBEAT_INTERVAL)).then_some(age as u32)
     }
 
-    /// Notes that a node was claiming or loading the cell at `heard`, and gives it time.
-    pub fn note_claim(&mut self, heard: Millis) {
-        self.claim_seen = self.claim_seen.max(Some(heard));
+    /// Notes that a node was claiming or loading the cell at `seen_at`, and gives it time.
+    pub fn note_claim(&mut self, seen_at: Millis) {
+        self.claim_seen = self.claim_seen.max(Some(seen_at));
     }
 
     /// Notes a heartbeat of the owner under `epoch`.
     pub fn note_heartbeat(&mut self, epoch: u64, address: Option<SocketAddr>, now: Millis) {
         self.epoch = epoch;
         self.address = address;
-        self.heard = Some(now);
+        self.last_heard = Some(now);
         self.claim_seen = None;
     }
 }
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -72,7 +72,7 @@
         let members = known.iter().map(|(name, member)| MemberStatus {
             name: name.clone(),
             address: member.address.to_string(),
-            heard_ms_ago: (member.heard > 0).then(|| now.saturating_sub(member.heard)),
+            heard_ms_ago: (member.last_heard > 0).then(|| now.saturating_sub(member.last_heard)),
             reaches_store: member.reaches_store,
             leaving: member.leaving,
             configuration: member.configuration,
