--- a/src/cell/life.rs
+++ b/src/cell/life.rs
@@ -78,10 +78,10 @@
 impl FormerLives {
     /// How long a former life can still have effects after it has ended, in milliseconds: an order
     /// meant for it may be carried out this late, and what that starts may have the longest lease.
-    pub const RELEVANT_FOR: Millis = tuning::MAX_ORDER_DELAY + Self::LONGEST_LEASE;
+    pub const RELEVANT_FOR: Millis = tuning::MAX_ORDER_DELAY + Self::MAX_LEASE;
 
     /// The longest lease of a worker, measured by the owner's clock, in milliseconds.
-    pub const LONGEST_LEASE: Millis = tuning::MAX_LEASE
+    pub const MAX_LEASE: Millis = tuning::MAX_LEASE
         + tuning::MAX_LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000
         + tuning::LEASE_MARGIN;
 
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -120,7 +120,7 @@
             worker = %worker.entry.life,
             born = entry.life.born,
             address = %entry.address,
-            ends = worker.seen_end,
+            ends = worker.accepted_end,
             runs = worker.runs.len(),
             "another life of the worker is listed"
         );
@@ -152,7 +152,7 @@
             worker = %worker.entry.life,
             born = look.born,
             clock = look.clock,
-            ends = worker.seen_end,
+            ends = worker.accepted_end,
             forgotten = order.forget,
             runs = worker.runs.len(),
             running = look.running.len(),
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -514,7 +514,7 @@
         let poll_wait = self.poll_wait();
         let worker = self.workers.get(key)?;
         let ends = worker.next_forget(now);
-        let may_wait = ends != NextForget::Deferred && worker.seen_end == worker.recorded_end;
+        let may_wait = ends != NextForget::Deferred && worker.accepted_end == worker.recorded_end;
         // Such a poll renews no lease and does not wait for an end.
         let is_probe = worker.has_uncertain_life() || !worker.has_recent_clock(now);
         let order = PollOrder {
@@ -552,7 +552,7 @@
     /// same ends.
     pub fn has_ends_to_record(&self, key: WorkerKey) -> bool {
         let worker = self.workers.get(key);
-        worker.is_some_and(|worker| worker.seen_end > worker.recorded_end)
+        worker.is_some_and(|worker| worker.accepted_end > worker.recorded_end)
     }
 
     /// Returns whether ends of a worker wait for their jobs to be read.  A poll would return at
--- a/src/cell/poll.rs
+++ b/src/cell/poll.rs
@@ -375,7 +375,7 @@
                 phase = ?run.phase,
                 worker = %worker.entry.life,
                 clock,
-                ends = worker.seen_end,
+                ends = worker.accepted_end,
                 forgotten,
                 "run is not there"
             );
@@ -401,7 +401,7 @@
 /// Tells whether a life that has not answered before has discarded ends that nobody has read: each
 /// life numbers its ends from one without gaps.
 fn has_discarded_ends(worker: &Worker, look: &PollReport) -> bool {
-    let is_next = |end: &EndEntry| end.place <= worker.seen_end + 1;
+    let is_next = |end: &EndEntry| end.place <= worker.accepted_end + 1;
     let missing = worker.former.epoch_offset() > 0 && !look.ended.first().is_none_or(is_next);
     if missing {
         tracing::error!(
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -103,8 +103,8 @@
             batch.ends = self
                 .workers
                 .iter()
-                .filter(|(_, w)| w.seen_end > w.recorded_end)
-                .map(|(key, w)| (key, w.seen_end))
+                .filter(|(_, w)| w.accepted_end > w.recorded_end)
+                .map(|(key, w)| (key, w.accepted_end))
                 .collect();
         }
         batch
--- a/src/cell/roster.rs
+++ b/src/cell/roster.rs
@@ -213,7 +213,7 @@
                 };
                 worker.inherited = Some(jobs.map_or(InheritedWork::Any, InheritedWork::Jobs));
                 if long_lease {
-                    worker.long_lease_until = now + FormerLives::LONGEST_LEASE;
+                    worker.long_lease_until = now + FormerLives::MAX_LEASE;
                 }
             }
         }
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -134,9 +134,9 @@
     /// It is silent, and the runs that may have crashed it have been noted.
     pub suspected: bool,
     /// The number up to which all ends have been accepted.
-    pub seen_end: u64,
+    pub accepted_end: u64,
     /// The numbers of ends beyond that which have been accepted as well.
-    taken_ends: BTreeSet<u64>,
+    accepted_beyond: BTreeSet<u64>,
     /// The number up to which all ends are recorded, so that the worker may forget them.
     pub recorded_end: u64,
     /// The number up to which it was told to forget them, by a poll that it has answered.
@@ -198,8 +198,8 @@
             fillers: 0,
             trials: 0,
             suspected: false,
-            seen_end: 0,
-            taken_ends: BTreeSet::new(),
+            accepted_end: 0,
+            accepted_beyond: BTreeSet::new(),
             recorded_end: 0,
             forgotten_end: 0,
             forget_deferred: false,
@@ -240,7 +240,8 @@
     /// Returns whether no state depends on this life yet.  A life that has replaced another one may
     /// have listed ends before it has answered under its own epoch.
     pub fn is_pristine(&self) -> bool {
-        let has_listed = self.seen_end > 0 || !self.taken_ends.is_empty() || self.holds_ends;
+        let has_listed =
+            self.accepted_end > 0 || !self.accepted_beyond.is_empty() || self.holds_ends;
         !self.fenced && !has_listed && self.runs.is_empty()
     }
 
@@ -333,13 +334,13 @@
 
     /// Records that the end of this number is accepted; returns false if it was before.
     pub fn accept_end(&mut self, place: u64) -> bool {
-        place > self.seen_end && self.taken_ends.insert(place)
+        place > self.accepted_end && self.accepted_beyond.insert(place)
     }
 
     /// Records that all ends up to this number are accepted.
     pub fn accept_ends_up_to(&mut self, place: u64) {
-        self.seen_end = self.seen_end.max(place);
-        self.taken_ends = self.taken_ends.split_off(&(self.seen_end + 1));
+        self.accepted_end = self.accepted_end.max(place);
+        self.accepted_beyond = self.accepted_beyond.split_off(&(self.accepted_end + 1));
     }
 
     /// Clears what is known from its last list: a later list replaces it, or its lease has run out.
@@ -354,7 +355,7 @@
     /// Returns whether it lists, or may list, ends that are not recorded: a successor can learn of
     /// them from this worker only.
     pub fn has_unrecorded_ends(&self) -> bool {
-        self.holds_ends || self.more_ends || self.seen_end > self.recorded_end
+        self.holds_ends || self.more_ends || self.accepted_end > self.recorded_end
     }
 
     /// Returns whether tasks may have been started here that this owner does not know of: by a
