--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -1,4 +1,7 @@
 //! The owner's record of one worker: its entry, its room, its lease, and the ends it has listed.
+//!
+//! An end is the worker's report that a run has ended.  A worker numbers the ends of one life from
+//! one and lists each of them until a poll tells it to forget the ends up to some number.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,7 +29,7 @@
     pub service: String,
     /// The data hall that it stands in.
     pub hall: String,
-    /// Its whole room, whether in use or not.
+    /// Its whole room (processors, memory and accelerators), whether in use or not.
     pub capacity: Demand,
     /// Its labels, the rack's among them.
     pub labels: Vec<String>,
@@ -53,7 +56,7 @@
 pub struct Health {
     /// How many runs have failed since the last one that succeeded.
     pub failures: u32,
-    /// No task is placed on the worker before this time.
+    /// The worker is shunned until this time: no task is placed on it.
     pub shunned_until: Millis,
     /// After being shunned the worker gets one task at a time until one has succeeded.
     pub on_trial: bool,
@@ -122,18 +125,18 @@
     pub runs: Vec<RunKey>,
     /// The room that they take up.
     pub used: Demand,
-    /// The processors that its fillers ask for, in millicores.  They do not count in `used`.
+    /// The processors that its fillers ask for, in millicores; `used` does not include them.
     pub filler_millicores: u64,
     /// How many of the runs are serving tasks, beside which no filler may run.
     pub serving: u32,
-    /// How many of the runs are fillers.
+    /// How many of the runs are fillers, which use processors that other runs leave idle.
     pub fillers: u32,
     /// How many of the runs are trials of tasks that may crash workers: nothing is started beside
     /// them.
     pub trials: u32,
     /// It is silent, and the runs that may have crashed it have been noted.
     pub suspected: bool,
-    /// The number up to which all ends have been accepted.
+    /// The number up to which all ends have been accepted, that is, have taken effect in the core.
     pub accepted_end: u64,
     /// The numbers of ends beyond that which have been accepted as well.
     accepted_beyond: BTreeSet<u64>,
@@ -332,14 +335,14 @@
         self.silent_since.get_or_insert(now);
     }
 
-    /// Records that the end of this number is accepted; returns false if it was before.
-    pub fn accept_end(&mut self, place: u64) -> bool {
-        place > self.accepted_end && self.accepted_beyond.insert(place)
+    /// Records that the end of this number is being accepted; returns false if it already was.
+    pub fn accept_end(&mut self, number: u64) -> bool {
+        number > self.accepted_end && self.accepted_beyond.insert(number)
     }
 
-    /// Records that all ends up to this number are accepted.
-    pub fn accept_ends_up_to(&mut self, place: u64) {
-        self.accepted_end = self.accepted_end.max(place);
+    /// Records that all ends up to this number have been accepted.
+    pub fn accept_ends_up_to(&mut self, number: u64) {
+        self.accepted_end = self.accepted_end.max(number);
         self.accepted_beyond = self.accepted_beyond.split_off(&(self.accepted_end + 1));
     }
 
