--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -18,8 +18,8 @@
 
 /// How strongly a loss implicates a run in the crash of its worker.
 ///
-/// A start is fresh if it was not answered, or was answered at most [`tuning::FRESH_START_AGE`] before the
-/// worker fell silent.
+/// A start is fresh if it was not answered, or was answered at most [`tuning::FRESH_START_AGE`]
+/// before the worker fell silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Blame {
     /// It was the only fresh start without an answer or, if all were answered, the only fresh one.
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingLoss {
     loss_key: LossKey,
-    /// When it was noted: only the answer to a look sent later shows that the life survived it.
+    /// When it was noted: only the answer to a poll sent later shows that the life survived it.
     noted: Sequence,
 }
 
@@ -291,7 +291,7 @@
     }
 
     /// Clears the losses that were noted on the present life of a worker before `sent`, when the
-    /// look that it has now answered was sent: they did not crash it. Nor did a start that had been
+    /// poll that it has now answered was sent: they did not crash it. Nor did a start that had been
     /// given up as unanswered and barred by a stop by then.
     pub(super) fn clear_survived_losses(&mut self, key: WorkerKey, sent: Sequence) {
         for run in self.unproven_runs(key) {
@@ -311,7 +311,7 @@
     }
 
     /// Tells whether the worker's clock, by its latest answer, is past the time at which an
-    /// unanswered start should have been carried out. The answer to any look counts, also to one
+    /// unanswered start should have been carried out. The answer to any poll counts, also to one
     /// that was sent before the start and has waited at the worker for an end.
     fn is_past_start_window(&self, key: WorkerKey, run: RunKey) -> bool {
         let run = &self.runs[run];
@@ -358,7 +358,7 @@
         runs.find(|&run| self.runs[run].number == loss_key.run)
     }
 
-    /// Tells whether an unanswered start may be carried out after a look was sent at `sent`: no
+    /// Tells whether an unanswered start may be carried out after a poll was sent at `sent`: no
     /// confirmed stop had barred it by then.
     fn may_begin_after(&self, key: RunKey, sent: Sequence) -> bool {
         let run = &self.runs[key];
@@ -540,9 +540,9 @@
         }
     }
 
-    /// Reduces the blame on a run that a look shows to go on. Once it is older than
-    /// [`tuning::PROVEN_AFTER`], it is proven and its task's losses from fresh starts are forgotten; after
-    /// [`tuning::LOSSES_EXPIRE_AFTER`] all losses of the task are.
+    /// Reduces the blame on a run that a poll shows to go on. Once it is older than
+    /// [`tuning::PROVEN_AFTER`], it is proven and its task's losses from fresh starts are
+    /// forgotten; after [`tuning::LOSSES_EXPIRE_AFTER`] all losses of the task are.
     pub(super) fn reduce_blame(&mut self, key: RunKey, now: Millis) {
         let run = &mut self.runs[key];
         let age = now.saturating_sub(run.began_at);
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -102,7 +102,7 @@
     }
 
     /// Notes that the platform lists another life under the id of a worker. The entry may be older
-    /// than what the worker itself says, so only an answer decides; the next look goes to the
+    /// than what the worker itself says, so only an answer decides; the next poll goes to the
     /// address in the entry.
     fn note_listed_life(&mut self, key: WorkerKey, entry: WorkerEntry) {
         let listed = self.next_sequence();
@@ -131,45 +131,45 @@
         });
     }
 
-    /// Checks whether another life answered a look. If so, switches to that life, and returns true
+    /// Checks whether another life answered a poll. If so, switches to that life, and returns true
     /// if that replaced the worker: the answer needs no further processing then.
     pub(super) fn detect_other_life(
         &mut self,
         order: &PollOrder,
-        look: &PollReport,
+        report: &PollReport,
         now: Millis,
     ) -> bool {
         let key = order.to.worker;
         let worker = &mut self.workers[key];
-        if !worker.is_different_life(look.born) {
-            worker.confirm_life(look.born);
-            // The platform's entry of another life is outdated if it was read before this look was
+        if !worker.is_different_life(report.born) {
+            worker.confirm_life(report.born);
+            // The platform's entry of another life is outdated if it was read before this poll was
             // sent: the worker still says that it is the same life.
             worker.next.take_if(|next| next.listed < order.sequence);
             return false;
         }
         tracing::info!(
             worker = %worker.entry.life,
-            born = look.born,
-            clock = look.clock,
+            born = report.born,
+            clock = report.clock,
             ends = worker.accepted_end,
             forgotten = order.forget,
             runs = worker.runs.len(),
-            running = look.running.len(),
-            ended = look.ended.len(),
+            running = report.running.len(),
+            ended = report.ended.len(),
             "another life of the worker answers"
         );
         self.counts.other_lives += 1;
         if worker.is_pristine() {
-            self.change_blank_life(key, look.born, now);
+            self.switch_life_in_place(key, report.born, now);
             return false;
         }
-        self.replace_life(order, look, now);
+        self.replace_life(order, report, now);
         true
     }
 
-    /// Switches a worker that has not answered us before to the life that has answered, in place.
-    fn change_blank_life(&mut self, key: WorkerKey, born: Option<Millis>, now: Millis) {
+    /// Switches a worker that has not answered us before, in place, to the life that has answered.
+    fn switch_life_in_place(&mut self, key: WorkerKey, born: Option<Millis>, now: Millis) {
         let listed = self.next_sequence();
         let worker = &mut self.workers[key];
         worker.listed = listed;
@@ -186,18 +186,18 @@
     /// Orders name the id alone, so starts that were in flight to the former life may have been
     /// carried out by the new one. They are moved to it until its first list shows whether they run
     /// there; otherwise their tasks would be started a second time beside them.
-    fn replace_life(&mut self, order: &PollOrder, look: &PollReport, now: Millis) {
+    fn replace_life(&mut self, order: &PollOrder, report: &PollReport, now: Millis) {
         let key = order.to.worker;
-        let mut next = Worker::next_life(&self.workers[key], look.born, now);
+        let mut next = Worker::next_life(&self.workers[key], report.born, now);
         next.listed = self.next_sequence();
-        if next.former.were_superseded(look.born) {
+        if next.former.were_superseded(report.born) {
             self.counts.rival_lives += 1;
             tracing::error!(
                 worker = %next.entry.life,
                 "a former life of the worker answers again: two workers have one id"
             );
         }
-        let (listed, open) = self.runs_of_next_life(order, look);
+        let (listed, open) = self.runs_of_next_life(order, report);
         if !open.is_empty() || !listed.is_empty() {
             // A late start may begin there with a lease that was meant for the former life's clock.
             next.lease_end = now + FormerLives::RELEVANT_FOR;
@@ -219,20 +219,23 @@
         self.worker_ids
             .insert(former.entry.life.id.clone(), next_key);
         self.confirm_crash(&former.entry.life, &open, now);
-        // A look that is still in flight to the former life may make this one forget these ends.
-        self.process_ends(next_key, &look.ended, now);
+        // A poll that is still in flight to the former life may make this one forget these ends.
+        self.process_ends(next_key, &report.ended, now);
     }
 
     /// Returns the runs that the new life lists, and those whose start it may have carried out or
-    /// may still carry out: their beginning was not known when the look was sent.
+    /// may still carry out: their beginning was not known when the poll was sent.
     fn runs_of_next_life(
         &self,
         order: &PollOrder,
-        look: &PollReport,
+        report: &PollReport,
     ) -> (Vec<RunKey>, Vec<RunKey>) {
         let key = order.to.worker;
-        let running = look.running.iter().map(|entry| (entry.task, entry.number));
-        let ended = look.ended.iter().map(|entry| (entry.task, entry.number));
+        let running = report
+            .running
+            .iter()
+            .map(|entry| (entry.task, entry.number));
+        let ended = report.ended.iter().map(|entry| (entry.task, entry.number));
         let found = running.chain(ended);
         let listed = found.filter_map(|(task, number)| self.find_run(key, task, number));
         let listed: Vec<RunKey> = listed.collect();
@@ -247,7 +250,7 @@
     }
 
     /// Ends the other lives at the address and machine of a worker that has answered for the first
-    /// time, to a look sent at `sent`. Lives that were known before that had begun earlier, so they
+    /// time, to a poll sent at `sent`. Lives that were known before that had begun earlier, so they
     /// have ended. A life listed since may be the later one; its own answer will show that.
     pub(super) fn end_other_lives(&mut self, key: WorkerKey, sent: Sequence, now: Millis) {
         let present = &self.workers[key].entry;
--- a/src/cell/poll.rs
+++ b/src/cell/poll.rs
@@ -1,8 +1,9 @@
-//! Processes the answers to looks.
+//! Processes the answers to polls.
 //!
-//! A look polls one worker: it renews the lease of everything that runs there, and its answer lists
-//! what runs and what has ended. Each look carries the sequence number (`Sequence`) at which it was
-//! sent: its answer is certain to reflect only what was heard before that.
+//! A poll asks one worker what runs there and what has ended, and renews the lease of everything
+//! that runs there. It carries the sequence number at which it was sent, so that its answer can be
+//! ordered against what was heard from the worker by other ways: only what was heard before that
+//! number is sure to be reflected in the answer.
 
 use std::collections::BTreeSet;
 
@@ -19,18 +20,18 @@
 use crate::clock::Millis;
 
 impl Cell {
-    /// Processes the answer to a look.
-    pub fn poll_answered(&mut self, order: &PollOrder, look: &PollReport, now: Millis) {
+    /// Processes the answer to a poll.
+    pub fn poll_answered(&mut self, order: &PollOrder, report: &PollReport, now: Millis) {
         let key = order.to.worker;
         let heard = self.next_sequence();
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
         if order.sequence < worker.last_poll {
-            // A later look was answered first, and its answer lists again whatever matters here.
+            // A later poll was answered first, and its answer lists again whatever matters here.
             return;
         }
-        if self.detect_other_life(order, look, now) {
+        if self.detect_other_life(order, report, now) {
             return;
         }
         let worker = &mut self.workers[key];
@@ -45,15 +46,15 @@
         worker.last_answer = heard;
         worker.last_heard = now;
         worker.silent_since = None;
-        worker.clock = Some((look.clock, now));
+        worker.clock = Some((report.clock, now));
         let first = !worker.fenced;
         worker.fenced = true;
         self.clear_survived_losses(key, order.sequence);
         let worker = &mut self.workers[key];
         if first {
-            self.counts.unread_ends += u64::from(has_discarded_ends(worker, look));
+            self.counts.unread_ends += u64::from(has_discarded_ends(worker, report));
             worker.lease_end = 0;
-            if may_have_former_life_lease(worker, look) {
+            if may_have_former_life_lease(worker, report) {
                 worker.assume_longest_lease(now);
             }
             // A former owner may have renewed the lease just now. Without this a task was started
@@ -62,21 +63,21 @@
             tracing::debug!(
                 worker = %worker.entry.life,
                 epoch = order.to.epoch,
-                running = look.running.len(),
-                ended = look.ended.len(),
+                running = report.running.len(),
+                ended = report.ended.len(),
                 "worker answers under our epoch"
             );
             self.end_other_lives(key, order.sequence, now);
         }
-        self.process_ends(key, &look.ended, now);
-        let listed = self.process_running(order, look, newest, now);
+        self.process_ends(key, &report.ended, now);
+        let listed = self.process_running(order, report, newest, now);
         let worker = &mut self.workers[key];
         worker.listed_whole |= newest && !worker.more_ends && worker.unread_jobs.is_empty();
-        self.remove_unlisted(key, order, look.clock, &listed, now);
+        self.remove_unlisted(key, order, report.clock, &listed, now);
         self.unpark_unless_idle(key, now);
     }
 
-    /// Processes a look that failed.
+    /// Processes a poll that failed.
     pub fn poll_failed(&mut self, key: WorkerKey, failure: PollFailure, now: Millis) {
         let Some(worker) = self.workers.get_mut(key) else {
             return;
@@ -134,7 +135,7 @@
     }
 
     /// Logs which end keeps the worker from forgetting further ones, once for each such end and not
-    /// at each look.
+    /// at each poll.
     fn log_held_ends(&self, key: WorkerKey, first: &EndEntry, listed: usize) {
         tracing::info!(
             worker = self.workers[key].entry.life.id,
@@ -201,14 +202,14 @@
     fn process_running(
         &mut self,
         order: &PollOrder,
-        look: &PollReport,
+        report: &PollReport,
         newest: bool,
         now: Millis,
     ) -> BTreeSet<RunKey> {
         let key = order.to.worker;
         let mut listed: BTreeSet<RunKey> = BTreeSet::new();
         let mut unknown = 0;
-        for entry in &look.running {
+        for entry in &report.running {
             let known = self.find_run(key, entry.task, entry.number);
             if known.is_none() && !newest {
                 // It may have ended since the list was made; if not, the next list shows it.
@@ -218,7 +219,7 @@
                 Some(run) => {
                     listed.insert(run);
                     self.clear_stale_stop_confirmation(run, order);
-                    self.update_progress(run, entry, look.clock, now);
+                    self.update_progress(run, entry, report.clock, now);
                 }
                 None => {
                     unknown += 1;
@@ -252,8 +253,8 @@
         self.order_stop(worker, None, task, number);
     }
 
-    /// Drops the confirmation of a stop if the run is still listed more than [`tuning::MAX_STOP_TIME`]
-    /// after the stop was sent: the run goes on, so the stop is repeated.
+    /// Drops the confirmation of a stop if the run is still listed more than
+    /// [`tuning::MAX_STOP_TIME`] after the stop was sent: the run goes on, so the stop is repeated.
     fn clear_stale_stop_confirmation(&mut self, key: RunKey, order: &PollOrder) {
         if let Some(stop) = &mut self.runs[key].stop
             && stop.sent + tuning::MAX_STOP_TIME < order.sent
@@ -326,7 +327,7 @@
         self.detect_slow_run(key, now);
     }
 
-    /// Removes the runs that a worker does not list and that are certain to be over: its look was
+    /// Removes the runs that a worker does not list and that are certain to be over: its poll was
     /// sent after their beginning, or the confirmation of their stop, had been heard, or their
     /// start can no longer take effect by the worker's clock.
     fn remove_unlisted(
@@ -393,20 +394,20 @@
 
 /// Tells whether a life may hold a lease that was meant for the clock of a former life, given by
 /// this owner or another: a start that arrives late gives such a lease, even if it is refused.
-fn may_have_former_life_lease(worker: &Worker, look: &PollReport) -> bool {
-    let is_young = look.born.is_some() && look.clock <= FormerLives::RELEVANT_FOR;
+fn may_have_former_life_lease(worker: &Worker, report: &PollReport) -> bool {
+    let is_young = report.born.is_some() && report.clock <= FormerLives::RELEVANT_FOR;
     is_young || worker.former.epoch_offset() > 0
 }
 
 /// Tells whether a life that has not answered before has discarded ends that nobody has read: each
 /// life numbers its ends from one without gaps.
-fn has_discarded_ends(worker: &Worker, look: &PollReport) -> bool {
+fn has_discarded_ends(worker: &Worker, report: &PollReport) -> bool {
     let is_next = |end: &EndEntry| end.place <= worker.accepted_end + 1;
-    let missing = worker.former.epoch_offset() > 0 && !look.ended.first().is_none_or(is_next);
+    let missing = worker.former.epoch_offset() > 0 && !report.ended.first().is_none_or(is_next);
     if missing {
         tracing::error!(
             worker = %worker.entry.life,
-            first = look.ended[0].place,
+            first = report.ended[0].place,
             "a worker has forgotten ends that nobody has read"
         );
     }
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -473,8 +473,9 @@
         self.workers[key].clear_listed_state();
     }
 
-    /// Logs in one line the runs that were lost with their worker, each with its phase and its age:
-    /// a task that crashes its workers shows as the youngest one.
+    /// Logs in one line the runs that were lost with their worker, each with its phase, which tells
+    /// how certain it is that it had begun, and its age: a task that crashes its workers shows as
+    /// the youngest one.
     fn log_lost_runs(&self, key: WorkerKey, runs: &[RunKey], now: Millis) {
         if runs.is_empty() {
             return;
