--- a/src/cell/lost.rs
+++ b/src/cell/lost.rs
@@ -37,7 +37,7 @@
 impl Cell {
     /// Keeps a worker's life in the roster that has ended, or whose lease has run out. A life that
     /// is not in the roster was never sent a start.
-    pub(super) fn keep_lost_life(&mut self, key: WorkerKey) {
+    pub(super) fn keep_ended_life(&mut self, key: WorkerKey) {
         let worker = &self.workers[key];
         let hides_starts = worker.may_have_unknown_starts();
         if worker.roster_state != RosterState::Absent {
@@ -74,7 +74,7 @@
     }
 
     /// Keeps an ended life in the roster that a former owner has kept there.
-    pub(super) fn inherit_lost_life(&mut self, entry: &RosterEntry) {
+    pub(super) fn inherit_ended_life(&mut self, entry: &RosterEntry) {
         let entry = RosterEntry {
             lost: Some(LostLife::This),
             jobs: None,
@@ -85,13 +85,13 @@
     }
 
     /// Returns the entry of an ended life of this id that stays in the roster.
-    pub(super) fn lost_entry_of(&self, id: &str) -> Option<&RosterEntry> {
+    pub(super) fn ended_entry_of(&self, id: &str) -> Option<&RosterEntry> {
         let mut entries = self.ended_lives.iter().map(|kept| &kept.entry);
         entries.find(|entry| entry.worker.life.id == id)
     }
 
     /// Returns the entries of ended lives, except those whose id a life in use has.
-    pub(super) fn lost_entries(
+    pub(super) fn ended_entries(
         &self,
         is_used: impl Fn(&str) -> bool,
     ) -> impl Iterator<Item = &RosterEntry> {
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -174,7 +174,7 @@
         let worker = &mut self.workers[key];
         worker.listed = listed;
         let former = worker.entry.life.clone();
-        self.keep_lost_life(key);
+        self.keep_ended_life(key);
         let worker = &mut self.workers[key];
         worker.switch_to_life(born, now);
         worker.confirm_life(born);
@@ -272,7 +272,7 @@
 
     /// Marks a worker whose newest entry cannot be read: its runs go on, but nothing more is placed
     /// there until an entry can be read.
-    pub fn distrust_worker(&mut self, id: &str, now: Millis) {
+    pub fn mark_entry_outdated(&mut self, id: &str, now: Millis) {
         if let Some(&key) = self.worker_ids.get(id) {
             let worker = &mut self.workers[key];
             worker.entry_outdated = true;
@@ -322,7 +322,7 @@
             step.advice.rejected.remove(&key);
         }
         if self.workers.contains_key(key) {
-            self.keep_lost_life(key);
+            self.keep_ended_life(key);
         }
         let worker = self.workers.remove(key)?;
         if worker.parked {
--- a/src/cell/roster.rs
+++ b/src/cell/roster.rs
@@ -92,7 +92,7 @@
         let workers = self.workers.values();
         let listed = workers.filter(|worker| worker.roster_state != RosterState::Absent);
         let present = listed.map(|worker| self.roster_entry(worker));
-        let lost = self.lost_entries(|id| self.is_in_roster(id)).cloned();
+        let lost = self.ended_entries(|id| self.is_in_roster(id)).cloned();
         let mut entries: Vec<RosterEntry> = present.chain(lost).collect();
         entries.sort_unstable_by(|a, b| a.worker.life.id.cmp(&b.worker.life.id));
         (self.roster_version, entries)
@@ -111,7 +111,7 @@
 
     fn roster_entry_of(&self, id: &str) -> Option<RosterEntry> {
         if !self.is_in_roster(id) {
-            return self.lost_entry_of(id).cloned();
+            return self.ended_entry_of(id).cloned();
         }
         let worker = &self.workers[*self.worker_ids.get(id)?];
         Some(self.roster_entry(worker))
@@ -129,7 +129,7 @@
             jobs: self.named_jobs(worker),
             long_lease: worker.has_long_lease,
             lost: self
-                .lost_entry_of(&worker.entry.life.id)
+                .ended_entry_of(&worker.entry.life.id)
                 .map(|_| LostLife::Former),
         }
     }
@@ -190,7 +190,7 @@
     pub fn restore_roster(&mut self, entries: Vec<RosterEntry>, now: Millis) {
         for entry in entries {
             if entry.lost.is_some() {
-                self.inherit_lost_life(&entry);
+                self.inherit_ended_life(&entry);
             }
             if entry.lost == Some(LostLife::This) {
                 continue;
@@ -255,7 +255,7 @@
         let workers = self.workers.iter();
         let unreached = workers.filter(|(_, worker)| !worker.fenced && worker.inherited.is_some());
         for key in unreached.map(|(key, _)| key).collect::<Vec<_>>() {
-            self.keep_lost_life(key);
+            self.keep_ended_life(key);
         }
         self.unsettled = UnsettledJobs::Jobs(BTreeSet::new());
         tracing::info!(epoch = self.epoch, fenced, "ownership settled");
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -440,7 +440,7 @@
     /// Writes off all runs on a worker that was lost without reporting their ends.
     pub(super) fn write_off(&mut self, key: WorkerKey, now: Millis) {
         if !self.workers[key].runs.is_empty() {
-            self.keep_lost_life(key);
+            self.keep_ended_life(key);
         }
         self.note_losses(key, now);
         self.drop_runs(key, now);
@@ -468,7 +468,7 @@
             self.stop_gang(run.step, now, "a member of the gang is lost");
         }
         if self.workers[key].has_unread_runs {
-            self.keep_lost_life(key);
+            self.keep_ended_life(key);
         }
         self.workers[key].clear_listed_state();
     }
--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -102,7 +102,7 @@
         let mut cell = self.cell();
         cell.list_workers(entries, now);
         for id in unread {
-            cell.distrust_worker(id, now);
+            cell.mark_entry_outdated(id, now);
         }
     }
 
@@ -115,7 +115,7 @@
             } else if let Some(entry) = loading::parse_worker_entry(&self.shared, row) {
                 cell.list_worker(entry, now);
             } else {
-                cell.distrust_worker(&row.key, now);
+                cell.mark_entry_outdated(&row.key, now);
             }
         }
     }
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -115,7 +115,7 @@
     let first = bench.start_all().remove(0);
 
     // Act: its entry cannot be read any more, another job comes, and later it can be read again.
-    bench.cell.distrust_worker("w0", bench.now);
+    bench.cell.mark_entry_outdated("w0", bench.now);
     bench.accept(&job(8, &q, vec![step(1, 1_000)]));
     let mut meanwhile = 0;
     for _ in 0..10 {
--- a/tests/parked_workers.rs
+++ b/tests/parked_workers.rs
@@ -300,7 +300,7 @@
     not_listed = { |bench, entry| bench.cell.unlist_worker(&entry.life.id, bench.now) },
     leaving = { |bench, entry| bench.cell.list_worker(WorkerEntry { leaving: Some(5_000), ..entry }, bench.now) },
     another_life = { |bench, mut entry| { entry.life.born = Some(77); bench.cell.list_worker(entry, bench.now) } },
-    unreadable = { |bench, entry| bench.cell.distrust_worker(&entry.life.id, bench.now) },
+    unreadable = { |bench, entry| bench.cell.mark_entry_outdated(&entry.life.id, bench.now) },
     missing_in_a_list = { |bench, entry| {
         let others = (0..FLEET).map(worker).filter(|other| other.life.id != entry.life.id);
         bench.cell.list_workers(others.collect(), bench.now);
