--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -32,7 +32,7 @@
 }
 
 /// A worker that a question may name.
-struct Candidate {
+struct AdviceCandidate {
     worker: WorkerKey,
     /// It is known to be good for the step.
     good: bool,
@@ -44,15 +44,15 @@
 
 /// Workers that a question may name.
 #[derive(Default)]
-struct Found {
+struct CandidatePool {
     /// Tasks of the step have room there now.
-    with_room: Vec<Candidate>,
+    with_room: Vec<AdviceCandidate>,
     /// None has room there yet.
-    full: Vec<Candidate>,
+    full: Vec<AdviceCandidate>,
 }
 
-impl Found {
-    fn push(&mut self, candidate: Candidate) {
+impl CandidatePool {
+    fn push(&mut self, candidate: AdviceCandidate) {
         match candidate.fit {
             0 => self.full.push(candidate),
             _ => self.with_room.push(candidate),
@@ -85,7 +85,7 @@
 
     /// Asks about a step that lacks tickets for `needed` tasks, if a lane is free and
     /// there are workers with room to ask about.
-    pub(super) fn ask(&mut self, key: StepKey, needed: u32, round: &mut Round) {
+    pub(super) fn request_advice(&mut self, key: StepKey, needed: u32, round: &mut Round) {
         let now = round.now;
         let step = &self.steps[key];
         let Some(policy) = self.jobs[step.job].queue.advice else {
@@ -96,11 +96,11 @@
         if step.advice.asking || !pause_over || step.advice.search_after > now {
             return;
         }
-        if self.free_lane(false).is_none() || !round.may_look_for_advice() {
+        if self.free_lane(false).is_none() || !round.admit_advice_search() {
             return;
         }
         self.counts.advice_looks += 1;
-        let (workers, are_enough) = self.worth_asking(key, needed, &policy, round);
+        let (workers, are_enough) = self.select_advice_workers(key, needed, &policy, round);
         if !are_enough {
             self.unpark_for_step(key, needed, now);
         }
@@ -137,7 +137,7 @@
     ///
     /// What is good for a step never changes, so the first question also names workers
     /// that have no room yet: a step that waits for room knows where to wait for it.
-    fn worth_asking(
+    fn select_advice_workers(
         &mut self,
         key: StepKey,
         needed: u32,
@@ -146,7 +146,7 @@
     ) -> (Vec<WorkerKey>, bool) {
         let now = round.now;
         let job = &self.jobs[self.steps[key].job];
-        let share = self.learned_share(&job.queue.name);
+        let share = self.approval_rate(&job.queue.name);
         let answer_by =
             now + policy.duration(tuning::MAX_ADVICE_WORKERS) + tuning::ADVICE_LOOKAHEAD;
         let mut candidates = self.advice_candidates(key, needed, round);
@@ -186,22 +186,24 @@
         key: StepKey,
         needed: u32,
         round: &mut Round,
-    ) -> Vec<Candidate> {
+    ) -> Vec<AdviceCandidate> {
         let step = &self.steps[key];
         let room = step.step().room();
         let good = step.advice.tickets.keys();
-        let mut found = Found::default();
-        for candidate in good.filter_map(|&good| self.candidate(key, good, needed, round.now)) {
+        let mut found = CandidatePool::default();
+        for candidate in
+            good.filter_map(|&good| self.advice_candidate(key, good, needed, round.now))
+        {
             found.push(candidate);
         }
         let known = found.with_room.len();
-        let looked_at = self.find_unknown(key, needed, round, &mut found);
+        let looked_at = self.add_unasked_candidates(key, needed, round, &mut found);
         // To foresee when room comes free on each worker of a full cell takes most of a round.
         if found.with_room.len() - known >= tuning::MAX_ADVICE_WORKERS {
             found.full.retain(|candidate| candidate.good);
         }
         for candidate in &mut found.full {
-            candidate.free_at = self.forecast(candidate.worker, round).room_for(&room);
+            candidate.free_at = self.forecast(candidate.worker, round).earliest_fit(&room);
         }
         found.with_room.append(&mut found.full);
         self.counts.advice_workers += looked_at;
@@ -210,11 +212,17 @@
 
     /// Finds workers of which it is not known whether they are good, until there are enough with room;
     /// tells how many were looked at.
-    fn find_unknown(&self, key: StepKey, needed: u32, round: &mut Round, found: &mut Found) -> u64 {
+    fn add_unasked_candidates(
+        &self,
+        key: StepKey,
+        needed: u32,
+        round: &mut Round,
+        found: &mut CandidatePool,
+    ) -> u64 {
         let advice = &self.steps[key].advice;
         let most = found.with_room.len() + tuning::ADVICE_CANDIDATES;
         let mut looked_at = 0;
-        for worker in self.usable_from(key, round) {
+        for worker in self.usable_workers_rotated(key, round) {
             if found.with_room.len() == most {
                 break;
             }
@@ -222,7 +230,7 @@
             if advice.tickets.contains_key(&worker) || advice.rejected.contains(&worker) {
                 continue;
             }
-            if let Some(candidate) = self.candidate(key, worker, needed, round.now) {
+            if let Some(candidate) = self.advice_candidate(key, worker, needed, round.now) {
                 found.push(candidate);
             }
         }
@@ -230,17 +238,17 @@
     }
 
     /// A worker that a question about a step may name; its room is free at once if it has any.
-    fn candidate(
+    fn advice_candidate(
         &self,
         key: StepKey,
         worker_key: WorkerKey,
         needed: u32,
         now: Millis,
-    ) -> Option<Candidate> {
+    ) -> Option<AdviceCandidate> {
         let step = &self.steps[key];
         let spec = step.step();
         let service = &self.jobs[step.job].queue.service;
-        if self.valid_ticket(key, worker_key, now) || !self.will_take_work(worker_key, now) {
+        if self.has_valid_ticket(key, worker_key, now) || !self.will_take_work(worker_key, now) {
             return None;
         }
         let worker = &self.workers[worker_key];
@@ -248,10 +256,10 @@
             return None;
         }
         let fit = match self.takes_work(worker_key, now) {
-            true => worker.fit(spec, self.tasks_here(key, worker_key)),
+            true => worker.fit(spec, self.tasks_on_worker(key, worker_key)),
             false => 0,
         };
-        Some(Candidate {
+        Some(AdviceCandidate {
             worker: worker_key,
             good: step.advice.tickets.contains_key(&worker_key),
             fit: fit.min(needed),
@@ -261,21 +269,21 @@
 
     /// The workers of a step's service that will take work, from a place on that differs from step to
     /// step and from time to time.
-    fn usable_from(
+    fn usable_workers_rotated(
         &self,
         key: StepKey,
         round: &mut Round,
     ) -> impl Iterator<Item = WorkerKey> + use<> {
-        let usable = self.usable(key, round);
+        let usable = self.usable_workers(key, round);
         let place = xxh3_64(&(key.data().as_ffi() ^ round.now).to_le_bytes()) as usize;
         let first = place.checked_rem(usable.len()).unwrap_or_default();
         (0..usable.len()).map(move |place| usable[(first + place) % usable.len()])
     }
 
     /// The workers of a step's service that will take work, found once a round.
-    fn usable(&self, key: StepKey, round: &mut Round) -> Rc<[WorkerKey]> {
+    fn usable_workers(&self, key: StepKey, round: &mut Round) -> Rc<[WorkerKey]> {
         let service = &self.jobs[self.steps[key].job].queue.service;
-        if let Some(usable) = round.usable.get(service) {
+        if let Some(usable) = round.usable_workers.get(service) {
             return Rc::clone(usable);
         }
         let workers = self.workers.iter();
@@ -283,11 +291,13 @@
         let keys = of_service.map(|(worker, _)| worker);
         let usable = keys.filter(|&worker| self.will_take_work(worker, round.now));
         let usable: Rc<[WorkerKey]> = usable.collect();
-        round.usable.insert(service.clone(), Rc::clone(&usable));
+        round
+            .usable_workers
+            .insert(service.clone(), Rc::clone(&usable));
         usable
     }
 
-    fn learned_share(&self, queue: &str) -> f64 {
+    fn approval_rate(&self, queue: &str) -> f64 {
         self.good_share
             .get(queue)
             .copied()
@@ -295,7 +305,7 @@
     }
 
     /// Tells whether a ticket for the worker can still be used.
-    pub(super) fn valid_ticket(&self, key: StepKey, worker: WorkerKey, now: Millis) -> bool {
+    pub(super) fn has_valid_ticket(&self, key: StepKey, worker: WorkerKey, now: Millis) -> bool {
         let ticket = self.steps[key].advice.tickets.get(&worker);
         ticket.is_some_and(|ticket| ticket.expires > now + tuning::TICKET_MARGIN)
     }
--- a/src/cell/evacuation.rs
+++ b/src/cell/evacuation.rs
@@ -62,7 +62,7 @@
         let fits = |(worker_key, worker): (WorkerKey, &Worker)| {
             !self.is_hall_open(worker_key)
                 && worker.allows(step.step(), service)
-                && worker.fit(step.step(), self.tasks_here(key, worker_key)) > 0
+                && worker.fit(step.step(), self.tasks_on_worker(key, worker_key)) > 0
         };
         self.workers.iter().any(fits)
     }
--- a/src/cell/forecast.rs
+++ b/src/cell/forecast.rs
@@ -18,7 +18,7 @@
 
 impl Forecast {
     /// When there should be room for `wanted`; [`Millis::MAX`] if that cannot be foreseen.
-    pub(super) fn room_for(&self, wanted: &Demand) -> Millis {
+    pub(super) fn earliest_fit(&self, wanted: &Demand) -> Millis {
         let mut free = self.free;
         if wanted.fits(&free) {
             return self.not_before;
@@ -51,10 +51,10 @@
             .forecasts
             .entry(key)
             .expect("a worker of the cell")
-            .or_insert_with(|| self.make_forecast(key, now))
+            .or_insert_with(|| self.compute_forecast(key, now))
     }
 
-    fn make_forecast(&self, key: WorkerKey, now: Millis) -> Forecast {
+    fn compute_forecast(&self, key: WorkerKey, now: Millis) -> Forecast {
         let worker = &self.workers[key];
         let mut releases: Vec<(Millis, Demand)> = worker
             .runs
--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -89,7 +89,7 @@
             self.restore(key, progress, now);
         }
         if self.may_have_unrecorded_starts {
-            self.mark_careful(key);
+            self.set_record_starts_first(key);
         }
         if let Some(state) = self.early_ends.swap_remove(&row.id) {
             self.apply_peer_end(key, state);
--- a/src/cell/ledger.rs
+++ b/src/cell/ledger.rs
@@ -24,28 +24,28 @@
     /// By runs that go on or may.
     held: Demand,
     /// At most, by runs that we do not know of.
-    hidden: Demand,
+    unknown: Demand,
 }
 
 /// What all workspaces hold.
 #[derive(Debug, Default)]
 pub(super) struct Ledger {
     accounts: SlotMap<WorkspaceKey, Account>,
-    names: BTreeMap<String, WorkspaceKey>,
+    keys_by_name: BTreeMap<String, WorkspaceKey>,
 }
 
 impl Ledger {
     /// The account of a workspace, as described if it is new.
     pub(super) fn open_account(&mut self, workspace: &Workspace) -> WorkspaceKey {
-        if let Some(&key) = self.names.get(&workspace.name) {
+        if let Some(&key) = self.keys_by_name.get(&workspace.name) {
             return key;
         }
         let key = self.accounts.insert(Account {
             workspace: workspace.clone(),
             held: Demand::default(),
-            hidden: Demand::default(),
+            unknown: Demand::default(),
         });
-        self.names.insert(workspace.name.clone(), key);
+        self.keys_by_name.insert(workspace.name.clone(), key);
         key
     }
 
@@ -83,36 +83,36 @@
     /// Tells whether a workspace may hold so much more.
     pub(super) fn admits(&self, key: WorkspaceKey, wanted: &Demand) -> bool {
         let account = &self.accounts[key];
-        let all = account.held.plus(&account.hidden).plus(wanted);
+        let all = account.held.plus(&account.unknown).plus(wanted);
         account.workspace.admits(&all)
     }
 
-    fn forget_hidden(&mut self) {
+    fn clear_unknown(&mut self) {
         for account in self.accounts.values_mut() {
-            account.hidden = Demand::default();
+            account.unknown = Demand::default();
         }
     }
 
     /// Something may run in so much room for any workspace.
-    fn hide_for_all(&mut self, room: &Demand) {
+    fn add_unknown_to_all(&mut self, room: &Demand) {
         for account in self.accounts.values_mut() {
-            account.hidden.add(room);
+            account.unknown.add(room);
         }
     }
 
     /// Something may run in so much room for these.
-    fn hide_for(&mut self, keys: &[WorkspaceKey], room: &Demand) {
+    fn add_unknown(&mut self, keys: &[WorkspaceKey], room: &Demand) {
         for &key in keys {
-            self.accounts[key].hidden.add(room);
+            self.accounts[key].unknown.add(room);
         }
     }
 }
 
 /// Whose runs a worker may hold that we do not know of.
-enum Hidden {
-    Nobody,
-    Anybody,
-    These(Vec<WorkspaceKey>),
+enum UnknownRuns {
+    None,
+    AnyWorkspace,
+    Workspaces(Vec<WorkspaceKey>),
 }
 
 impl Cell {
@@ -128,39 +128,39 @@
     }
 
     /// Finds out what may run unknown to us, before anything is decided.
-    pub(super) fn find_hidden(&mut self, now: Millis) {
-        self.ledger.forget_hidden();
-        let mut of_anybody = Demand::default();
+    pub(super) fn update_unknown_usage(&mut self, now: Millis) {
+        self.ledger.clear_unknown();
+        let mut any_workspace = Demand::default();
         for worker in self.workers.values() {
             let room = &worker.entry.capacity;
-            match self.hidden_on(worker, now) {
-                Hidden::Nobody => {}
-                Hidden::Anybody => of_anybody.add(room),
-                Hidden::These(keys) => self.ledger.hide_for(&keys, room),
+            match self.unknown_runs_on(worker, now) {
+                UnknownRuns::None => {}
+                UnknownRuns::AnyWorkspace => any_workspace.add(room),
+                UnknownRuns::Workspaces(keys) => self.ledger.add_unknown(&keys, room),
             }
         }
-        self.ledger.hide_for_all(&of_anybody);
+        self.ledger.add_unknown_to_all(&any_workspace);
     }
 
-    fn hidden_on(&self, worker: &Worker, now: Millis) -> Hidden {
+    fn unknown_runs_on(&self, worker: &Worker, now: Millis) -> UnknownRuns {
         if worker.unknown_runs > 0 || !worker.unread_jobs.is_empty() {
-            return Hidden::Anybody;
+            return UnknownRuns::AnyWorkspace;
         }
         if self.settled || worker.fenced || now >= worker.inherited_until {
-            return Hidden::Nobody;
+            return UnknownRuns::None;
         }
         match &worker.inherited {
-            None => Hidden::Nobody,
-            Some(InheritedWork::Any) => Hidden::Anybody,
+            None => UnknownRuns::None,
+            Some(InheritedWork::Any) => UnknownRuns::AnyWorkspace,
             Some(InheritedWork::Jobs(jobs)) => {
                 let known = |id| self.job_ids.get(id).map(|&key| self.jobs[key].workspace);
                 let Some(workspaces) = jobs.iter().map(known).collect::<Option<Vec<_>>>() else {
-                    return Hidden::Anybody;
+                    return UnknownRuns::AnyWorkspace;
                 };
                 let mut keys: Vec<WorkspaceKey> = workspaces.into_iter().flatten().collect();
                 keys.sort_unstable();
                 keys.dedup();
-                Hidden::These(keys)
+                UnknownRuns::Workspaces(keys)
             }
         }
     }
--- a/src/cell/plan.rs
+++ b/src/cell/plan.rs
@@ -26,7 +26,7 @@
         }
         self.may_have_unrecorded_starts = true;
         for key in self.jobs.keys().collect::<Vec<_>>() {
-            self.mark_careful(key);
+            self.set_record_starts_first(key);
         }
         tracing::info!(
             epoch = self.epoch,
@@ -38,7 +38,7 @@
 
     /// Each start of a job is recorded first from now on, if a former owner may have started its
     /// tasks.
-    pub(super) fn mark_careful(&mut self, key: JobKey) {
+    pub(super) fn set_record_starts_first(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         if job.predates && !job.record_starts_first && !job.state.is_final() {
             job.record_starts_first = true;
@@ -47,14 +47,14 @@
     }
 
     /// Notes a run whose start is to be recorded; it holds its room from here on.
-    pub(super) fn plan(&mut self, key: RunKey) {
+    pub(super) fn plan_start(&mut self, key: RunKey) {
         self.counts.planned += 1;
         self.planned.push(key);
         self.note_planned_start(key);
     }
 
     /// How many more starts of a step may be recorded first: a job's row is bounded.
-    pub(super) fn plans_left(&self, key: StepKey) -> usize {
+    pub(super) fn planned_starts_left(&self, key: StepKey) -> usize {
         let job = self.steps[key].job;
         let planned = self.planned.iter().filter_map(|&run| self.runs.get(run));
         let of_job = planned.filter(|run| self.steps[run.step].job == job);
@@ -62,14 +62,14 @@
     }
 
     /// Sends the starts that are recorded, and drops those whose place is no longer good.
-    pub(super) fn send_planned(&mut self, now: Millis) {
+    pub(super) fn send_planned_starts(&mut self, now: Millis) {
         for key in std::mem::take(&mut self.planned) {
             if !self.is_planned(key) {
                 continue;
             }
-            if !self.can_start(key, now) {
+            if !self.can_send_planned_start(key, now) {
                 self.drop_planned_start(key);
-            } else if self.is_plan_recorded(key) && self.is_trial_telling(key, now) {
+            } else if self.is_plan_recorded(key) && self.is_trial_conclusive(key, now) {
                 self.send_start(key, now);
             } else {
                 self.planned.push(key);
@@ -99,24 +99,26 @@
 
     /// Tells whether a crash would show that it was this start: the worker has been heard just before.
     /// Its next look is not far, and a trial that tells nothing costs one more crash.
-    fn is_trial_telling(&self, key: RunKey, now: Millis) -> bool {
+    fn is_trial_conclusive(&self, key: RunKey, now: Millis) -> bool {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
         !run.trial || step.step().gang || self.workers[run.worker].was_heard_recently(true, now)
     }
 
     /// Tells whether a planned start can still be sent, to each member of its gang.
-    fn can_start(&self, key: RunKey, now: Millis) -> bool {
+    fn can_send_planned_start(&self, key: RunKey, now: Millis) -> bool {
         let step = self.runs[key].step;
         if !self.steps[step].step().gang {
-            return self.is_place_good(key, now);
+            return self.is_placement_valid(key, now);
         }
         let members = self.steps[step].tasks.iter().flat_map(|task| &task.runs);
         let planned = members.filter(|&&run| self.is_planned(run));
-        planned.into_iter().all(|&run| self.is_place_good(run, now))
+        planned
+            .into_iter()
+            .all(|&run| self.is_placement_valid(run, now))
     }
 
-    fn is_place_good(&self, key: RunKey, now: Millis) -> bool {
+    fn is_placement_valid(&self, key: RunKey, now: Millis) -> bool {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
         let job = &self.jobs[step.job];
--- a/src/cell/reservation.rs
+++ b/src/cell/reservation.rs
@@ -34,7 +34,7 @@
 impl Cell {
     /// Reserves room for `count` tasks of a step, where it comes free first.
     pub(super) fn reserve(&self, key: StepKey, count: u32, round: &mut Round) {
-        if round.reserving >= tuning::MAX_RESERVING_STEPS || !self.may_reserve(key) {
+        if round.reserving_steps >= tuning::MAX_RESERVING_STEPS || !self.may_reserve(key) {
             return;
         }
         let mut slots = self.slots(key, count, round);
@@ -44,12 +44,12 @@
         if spec.gang && slots.len() < count as usize {
             return;
         }
-        round.reserving += 1;
+        round.reserving_steps += 1;
         // Members of a gang start together, so all room is needed when the last of it is free.
         let together = slots.last().filter(|_| spec.gang).map(|slot| slot.at);
         for slot in slots {
             let at = together.unwrap_or(slot.at);
-            let reserved = round.reserved.entry(slot.worker);
+            let reserved = round.reservations.entry(slot.worker);
             let reservation = reserved
                 .expect("a worker of the cell")
                 .or_insert(Reservation {
@@ -72,7 +72,7 @@
         let service = &self.jobs[step.job].queue.service;
         let spec = step.step();
         let mut slots = Vec::new();
-        for worker_key in self.known_good(key) {
+        for worker_key in self.eligible_workers(key) {
             if !self.will_take_work(worker_key, round.now) {
                 continue;
             }
@@ -80,12 +80,12 @@
             if !worker.allows(spec, service) {
                 continue;
             }
-            let reserved = round.reserved.get(worker_key);
+            let reserved = round.reservations.get(worker_key);
             let mut wanted = reserved.map_or_else(Demand::default, |r| r.room);
             let forecast = self.forecast(worker_key, round);
-            for _ in 0..most_tasks(spec, count) {
+            for _ in 0..max_tasks_on_worker(spec, count) {
                 wanted.add(&spec.room());
-                let at = forecast.room_for(&wanted);
+                let at = forecast.earliest_fit(&wanted);
                 if at == Millis::MAX {
                     break;
                 }
@@ -99,7 +99,7 @@
     }
 
     /// The workers that may run a step, as far as is known.
-    fn known_good(&self, key: StepKey) -> Vec<WorkerKey> {
+    fn eligible_workers(&self, key: StepKey) -> Vec<WorkerKey> {
         let step = &self.steps[key];
         match self.jobs[step.job].queue.advice {
             Some(_) => step.advice.tickets.keys().copied().collect(),
@@ -108,14 +108,14 @@
     }
 
     /// How many of `fit` tasks of a step leave what is reserved on a worker alone.
-    pub(super) fn unreserved(
+    pub(super) fn unreserved_fit(
         &self,
         spec: &Step,
         worker: WorkerKey,
         fit: u32,
         round: &mut Round,
     ) -> u32 {
-        let Some(&reservation) = round.reserved.get(worker) else {
+        let Some(&reservation) = round.reservations.get(worker) else {
             return fit;
         };
         let ends = round.now + spec.estimate;
@@ -128,7 +128,7 @@
 }
 
 /// How many tasks of a step one worker may hold at most.
-fn most_tasks(spec: &Step, count: u32) -> u32 {
+fn max_tasks_on_worker(spec: &Step, count: u32) -> u32 {
     match spec.per_worker {
         0 => count,
         most => count.min(most),
--- a/src/cell/round.rs
+++ b/src/cell/round.rs
@@ -18,17 +18,17 @@
     /// When room comes free on the workers that were looked at.
     pub(super) forecasts: SecondaryMap<WorkerKey, Forecast>,
     /// Room that waiting steps have reserved.
-    pub(super) reserved: SecondaryMap<WorkerKey, Reservation>,
+    pub(super) reservations: SecondaryMap<WorkerKey, Reservation>,
     /// How many steps have reserved room.
-    pub(super) reserving: usize,
+    pub(super) reserving_steps: usize,
     /// How many times a worker was looked at as a place for a step.
-    pub(super) places: u64,
+    pub(super) candidates_examined: u64,
     /// What waits, and for what.
     pub(super) waiting: Waiting,
     /// The workers of a service that will take work, in the order of their keys.
-    pub(super) usable: BTreeMap<String, Rc<[WorkerKey]>>,
+    pub(super) usable_workers: BTreeMap<String, Rc<[WorkerKey]>>,
     /// For how many steps workers to ask about were looked for.
-    looks: usize,
+    advice_searches: usize,
 }
 
 impl Round {
@@ -37,25 +37,25 @@
         Self {
             now,
             forecasts: SecondaryMap::new(),
-            reserved: SecondaryMap::new(),
-            reserving: 0,
-            places: 0,
+            reservations: SecondaryMap::new(),
+            reserving_steps: 0,
+            candidates_examined: 0,
             waiting: Waiting::new(),
-            usable: BTreeMap::new(),
-            looks: 0,
+            usable_workers: BTreeMap::new(),
+            advice_searches: 0,
         }
     }
 
     /// So many tasks of a priority wait for a reason.
-    pub(super) fn wait(&mut self, priority: u32, reason: WaitReason, tasks: usize) {
+    pub(super) fn record_wait(&mut self, priority: u32, reason: WaitReason, tasks: usize) {
         if tasks > 0 {
             *self.waiting.entry((priority, reason)).or_default() += tasks as u32;
         }
     }
 
     /// Counts a look for workers to ask about; false if there were enough in this round.
-    pub(super) fn may_look_for_advice(&mut self) -> bool {
-        self.looks += 1;
-        self.looks <= tuning::MAX_ADVICE_SEARCHES
+    pub(super) fn admit_advice_search(&mut self) -> bool {
+        self.advice_searches += 1;
+        self.advice_searches <= tuning::MAX_ADVICE_SEARCHES
     }
 }
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -10,14 +10,14 @@
 use crate::clock::Millis;
 
 /// Where a task may go, with the room that is left for more of its step.
-pub(super) struct Place {
+pub(super) struct PlacementCandidate {
     pub(super) worker: WorkerKey,
     fit: u32,
     score: u64,
 }
 
 /// Where and how a task is to start.
-struct Chosen {
+struct Placement {
     worker: WorkerKey,
     /// The number that all members of a gang share; none to draw one.
     number: Option<u64>,
@@ -26,7 +26,7 @@
 }
 
 /// A start that was ordered, for the log.
-struct Started {
+struct OrderedStart {
     index: u32,
     run: u64,
     worker: WorkerKey,
@@ -39,9 +39,9 @@
 impl Cell {
     /// Starts what can start now and asks about what lacks tickets.
     pub fn schedule(&mut self, now: Millis) {
-        self.find_hidden(now);
+        self.update_unknown_usage(now);
         // A start that is dropped now waits again, so that is done before it is asked what waits.
-        self.send_planned(now);
+        self.send_planned_starts(now);
         let mut order: Vec<(u32, Millis, usize, StepKey)> = Vec::new();
         let awaiting_poll = self.jobs_awaiting_poll();
         for (place, &key) in self.open_steps.iter().enumerate() {
@@ -64,10 +64,10 @@
         let mut round = Round::new(now);
         for (priority, .., key) in order {
             if let Some((reason, tasks)) = self.schedule_step(key, &mut round) {
-                round.wait(priority, reason, tasks);
+                round.record_wait(priority, reason, tasks);
             }
         }
-        self.counts.places += round.places;
+        self.counts.places += round.candidates_examined;
         self.waiting = round.waiting;
     }
 
@@ -87,8 +87,8 @@
         let mut started = Vec::new();
         let mut limit = None;
         let mut places = self.placement_candidates(key, round);
-        let doubted = self.is_step_doubted(key);
-        let mut plans_left = self.plans_left(key);
+        let doubted = self.is_step_suspect(key);
+        let mut planned_starts_left = self.planned_starts_left(key);
         for index in waiting {
             limit = self.exceeded_limit(key, 1);
             if limit.is_some() {
@@ -97,9 +97,9 @@
             let task = &self.steps[key].tasks[index as usize];
             let trial = doubted || task.is_suspect();
             let worker = if trial {
-                self.trial_place(key, index, &places, round.now)
+                self.trial_worker(key, index, &places, round.now)
             } else {
-                best_place(&places, task.avoid)
+                best_worker(&places, task.avoid)
             };
             let Some(worker) = worker else {
                 if trial {
@@ -108,18 +108,18 @@
                 break;
             };
             if self.is_recorded_first(key, index) {
-                if plans_left == 0 {
+                if planned_starts_left == 0 {
                     continue;
                 }
-                plans_left -= 1;
+                planned_starts_left -= 1;
             }
-            let place = Chosen {
+            let place = Placement {
                 worker,
                 number: None,
                 trial,
             };
             started.extend(self.start(key, index, place, round));
-            self.update_place(&mut places, key, worker, round);
+            self.refresh_candidate(&mut places, key, worker, round);
             left -= 1;
         }
         self.log_starts(key, &started, round.now);
@@ -127,15 +127,15 @@
             return None;
         }
         if limit.is_none() {
-            self.seek_places(key, left, round);
+            self.request_capacity(key, left, round);
         }
-        let reason = limit.unwrap_or_else(|| self.lack(key, round.now));
+        let reason = limit.unwrap_or_else(|| self.placement_wait_reason(key, round.now));
         Some((reason, left as usize))
     }
 
     /// So many tasks of a step found no place: asks about more workers, keeps room that comes free, and
     /// wakes parked workers.
-    fn seek_places(&mut self, key: StepKey, tasks: u32, round: &mut Round) {
+    fn request_capacity(&mut self, key: StepKey, tasks: u32, round: &mut Round) {
         let (now, step) = (round.now, &self.steps[key]);
         let whole = match step.step().gang {
             true => step.tasks.len() as u32,
@@ -144,16 +144,16 @@
         if self.jobs[step.job].queue.advice.is_none() {
             self.unpark_for_step(key, whole, now);
         }
-        self.ask(key, tasks, round);
+        self.request_advice(key, tasks, round);
         self.reserve(key, whole, round);
     }
 
     /// What a step lacks that no limit holds back: tickets, or room where it may run.
-    fn lack(&self, key: StepKey, now: Millis) -> WaitReason {
+    fn placement_wait_reason(&self, key: StepKey, now: Millis) -> WaitReason {
         let step = &self.steps[key];
         let asks = self.jobs[step.job].queue.advice.is_some();
         let mut ticketed = step.advice.tickets.keys();
-        match asks && !ticketed.any(|&worker| self.valid_ticket(key, worker, now)) {
+        match asks && !ticketed.any(|&worker| self.has_valid_ticket(key, worker, now)) {
             true => WaitReason::Advice,
             false => WaitReason::NoRoom,
         }
@@ -187,13 +187,15 @@
         let tasks = self.steps[key].tasks.iter().enumerate();
         tasks
             .filter(move |(_, task)| !task.done && task.paused_until <= now)
-            .filter(move |(_, task)| task.runs.is_empty() || self.wants_copy(key, &task.runs))
+            .filter(move |(_, task)| {
+                task.runs.is_empty() || self.needs_speculative_run(key, &task.runs)
+            })
             .filter(|(_, task)| task.losses_allow_start())
             .map(|(index, _)| index as u32)
     }
 
     /// Tells whether a second copy of a task should run beside a slow one.
-    fn wants_copy(&self, key: StepKey, runs: &[RunKey]) -> bool {
+    fn needs_speculative_run(&self, key: StepKey, runs: &[RunKey]) -> bool {
         let [only] = runs else {
             return false;
         };
@@ -202,7 +204,7 @@
 
     /// How many tasks of the step a worker holds; zero if it may hold any number of them, since
     /// counting goes over all that runs there.
-    pub(super) fn tasks_here(&self, key: StepKey, worker: WorkerKey) -> u32 {
+    pub(super) fn tasks_on_worker(&self, key: StepKey, worker: WorkerKey) -> u32 {
         if self.steps[key].step().per_worker == 0 {
             return 0;
         }
@@ -214,7 +216,11 @@
     }
 
     /// The places where a task of the step could start now.
-    pub(super) fn placement_candidates(&self, key: StepKey, round: &mut Round) -> Vec<Place> {
+    pub(super) fn placement_candidates(
+        &self,
+        key: StepKey,
+        round: &mut Round,
+    ) -> Vec<PlacementCandidate> {
         let step = &self.steps[key];
         let queue = &self.jobs[step.job].queue;
         let spec = step.step();
@@ -222,12 +228,18 @@
         if queue.advice.is_some() {
             for (&worker, ticket) in &step.advice.tickets {
                 if ticket.expires > round.now + tuning::TICKET_MARGIN {
-                    places.extend(self.place(key, step, worker, &queue.service, round));
+                    places.extend(self.placement_candidate(
+                        key,
+                        step,
+                        worker,
+                        &queue.service,
+                        round,
+                    ));
                 }
             }
         } else {
             for worker in self.workers.keys() {
-                places.extend(self.place(key, step, worker, &queue.service, round));
+                places.extend(self.placement_candidate(key, step, worker, &queue.service, round));
             }
         }
         places.sort_unstable_by_key(|place| (place.score, place.worker));
@@ -235,27 +247,27 @@
         places
     }
 
-    fn place(
+    fn placement_candidate(
         &self,
         key: StepKey,
         step: &StepRun,
         worker_key: WorkerKey,
         service: &str,
         round: &mut Round,
-    ) -> Option<Place> {
-        round.places += 1;
+    ) -> Option<PlacementCandidate> {
+        round.candidates_examined += 1;
         let worker = self.workers.get(worker_key)?;
         let spec = step.step();
         if !self.takes_work(worker_key, round.now) || !worker.allows(spec, service) {
             return None;
         }
-        if self.is_on_trial(worker_key, key) {
+        if self.hosts_trial(worker_key, key) {
             return None;
         }
-        let here = self.tasks_here(key, worker_key);
+        let here = self.tasks_on_worker(key, worker_key);
         let fit = worker.fit(spec, here);
-        let fit = self.unreserved(spec, worker_key, fit, round);
-        (fit > 0).then(|| Place {
+        let fit = self.unreserved_fit(spec, worker_key, fit, round);
+        (fit > 0).then(|| PlacementCandidate {
             worker: worker_key,
             fit,
             score: self.score(step, worker_key),
@@ -290,9 +302,9 @@
 
     /// A start changes nothing but the place that it takes, so the others are not looked at anew
     /// for each task of a step.
-    fn update_place(
+    fn refresh_candidate(
         &self,
-        places: &mut Vec<Place>,
+        places: &mut Vec<PlacementCandidate>,
         key: StepKey,
         worker: WorkerKey,
         round: &mut Round,
@@ -300,8 +312,8 @@
         places.retain(|place| place.worker != worker);
         let step = &self.steps[key];
         let service = &self.jobs[step.job].queue.service;
-        if let Some(place) = self.place(key, step, worker, service, round) {
-            let order = |place: &Place| (place.score, place.worker);
+        if let Some(place) = self.placement_candidate(key, step, worker, service, round) {
+            let order = |place: &PlacementCandidate| (place.score, place.worker);
             let at = places.partition_point(|other| order(other) < order(&place));
             places.insert(at, place);
         }
@@ -322,20 +334,20 @@
             return Some((limit, size));
         }
         let mut places = self.placement_candidates(key, round);
-        let trial = self.is_step_doubted(key) || self.steps[key].tasks.iter().any(Task::is_suspect);
+        let trial = self.is_step_suspect(key) || self.steps[key].tasks.iter().any(Task::is_suspect);
         if trial {
-            places.retain(|place| self.is_quiet(place.worker, key, round.now));
+            places.retain(|place| self.has_no_recent_start(place.worker, key, round.now));
         }
-        let Some(chosen) = self.gang_places(key, &places, size) else {
+        let Some(chosen) = self.gang_workers(key, &places, size) else {
             let ticketed: u32 = places.iter().map(|place| place.fit).sum();
             let missing = (size as u32).saturating_sub(ticketed);
-            self.seek_places(key, missing, round);
-            return Some((self.lack(key, round.now), size));
+            self.request_capacity(key, missing, round);
+            return Some((self.placement_wait_reason(key, round.now), size));
         };
-        let number = self.next_number();
+        let number = self.next_run_number();
         let mut started = Vec::new();
         for (index, worker) in chosen.into_iter().enumerate() {
-            let place = Chosen {
+            let place = Placement {
                 worker,
                 number: Some(number),
                 trial,
@@ -347,16 +359,22 @@
     }
 
     /// Finds places for all members, within one rack if that is wanted and possible.
-    fn gang_places(&self, key: StepKey, places: &[Place], size: usize) -> Option<Vec<WorkerKey>> {
-        let expand = |places: &mut dyn Iterator<Item = &Place>| -> Option<Vec<WorkerKey>> {
-            let mut chosen = Vec::with_capacity(size);
-            for place in places {
-                for _ in 0..place.fit.min((size - chosen.len()) as u32) {
-                    chosen.push(place.worker);
+    fn gang_workers(
+        &self,
+        key: StepKey,
+        places: &[PlacementCandidate],
+        size: usize,
+    ) -> Option<Vec<WorkerKey>> {
+        let expand =
+            |places: &mut dyn Iterator<Item = &PlacementCandidate>| -> Option<Vec<WorkerKey>> {
+                let mut chosen = Vec::with_capacity(size);
+                for place in places {
+                    for _ in 0..place.fit.min((size - chosen.len()) as u32) {
+                        chosen.push(place.worker);
+                    }
                 }
-            }
-            (chosen.len() == size).then_some(chosen)
-        };
+                (chosen.len() == size).then_some(chosen)
+            };
         if self.steps[key].step().same_rack {
             let mut racks: Vec<&Option<String>> = Vec::new();
             for place in places {
@@ -377,7 +395,7 @@
         expand(&mut places.iter())
     }
 
-    fn next_number(&mut self) -> u64 {
+    fn next_run_number(&mut self) -> u64 {
         self.last_run_number += 1;
         self.last_run_number
     }
@@ -387,12 +405,12 @@
         &mut self,
         key: StepKey,
         index: u32,
-        place: Chosen,
+        place: Placement,
         round: &mut Round,
-    ) -> Option<Started> {
+    ) -> Option<OrderedStart> {
         let (now, worker_key) = (round.now, place.worker);
         round.forecasts.remove(worker_key);
-        let number = place.number.unwrap_or_else(|| self.next_number());
+        let number = place.number.unwrap_or_else(|| self.next_run_number());
         self.workers[worker_key].clock?;
         if let Err(rule) = self.check_start(key, index, worker_key) {
             self.counts.violations += 1;
@@ -419,12 +437,12 @@
             proven: false,
         });
         if is_planned {
-            self.plan(run);
+            self.plan_start(run);
         } else {
             self.send_start(run, now);
         }
         let worker = &self.workers[worker_key];
-        Some(Started {
+        Some(OrderedStart {
             index,
             run: number,
             worker: worker_key,
@@ -470,7 +488,7 @@
 
     /// Logs the starts of a step as one line: with a line for each, a busy owner wrote 90 KB
     /// a second, and what it had logged two seconds before was lost.
-    fn log_starts(&self, key: StepKey, started: &[Started], now: Millis) {
+    fn log_starts(&self, key: StepKey, started: &[OrderedStart], now: Millis) {
         if started.is_empty() {
             return;
         }
@@ -527,7 +545,7 @@
 }
 
 /// The best place, but the one to avoid only if there is no other.
-fn best_place(places: &[Place], avoid: Option<WorkerKey>) -> Option<WorkerKey> {
+fn best_worker(places: &[PlacementCandidate], avoid: Option<WorkerKey>) -> Option<WorkerKey> {
     places
         .iter()
         .find(|place| Some(place.worker) != avoid)
--- a/src/cell/trial.rs
+++ b/src/cell/trial.rs
@@ -5,27 +5,27 @@
 //! crash their workers").
 
 use crate::cell::job::{Phase, Task};
-use crate::cell::schedule::Place;
+use crate::cell::schedule::PlacementCandidate;
 use crate::cell::{Cell, RunKey, StepKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
 impl Cell {
     /// Tells whether a task is tried by itself: it may have crashed a worker, or its step is doubted.
     pub(super) fn needs_trial(&self, key: StepKey, index: u32) -> bool {
-        self.steps[key].tasks[index as usize].is_suspect() || self.is_step_doubted(key)
+        self.steps[key].tasks[index as usize].is_suspect() || self.is_step_suspect(key)
     }
 
     /// Tells whether a task of a step may have crashed a worker, and none has shown that they can run.
-    pub(super) fn is_step_doubted(&self, key: StepKey) -> bool {
+    pub(super) fn is_step_suspect(&self, key: StepKey) -> bool {
         let step = &self.steps[key];
         let runs = |task: &Task| task.runs.iter().any(|&run| self.runs[run].proven);
-        let unheard = |task: &Task| task.runs.iter().any(|&run| self.is_unheard(run));
+        let unheard = |task: &Task| task.runs.iter().any(|&run| self.fell_silent_at_start(run));
         let doubted = |task: &Task| task.is_suspect() || unheard(task);
         step.tasks.iter().any(doubted) && !step.tasks.iter().any(|task| task.done || runs(task))
     }
 
     /// Tells whether a worker fell silent while or just after a run was started there.
-    fn is_unheard(&self, run: RunKey) -> bool {
+    fn fell_silent_at_start(&self, run: RunKey) -> bool {
         let run = &self.runs[run];
         let silent = self.workers[run.worker].silent_since;
         !run.proven && silent.is_some_and(|since| run.is_fresh(since))
@@ -33,37 +33,37 @@
 
     /// Tells whether a task is being tried by itself on a worker, other than those of a gang that
     /// must start together.
-    pub(super) fn is_on_trial(&self, worker: WorkerKey, step: StepKey) -> bool {
+    pub(super) fn hosts_trial(&self, worker: WorkerKey, step: StepKey) -> bool {
         let worker = &self.workers[worker];
         let is_active_trial = |&run: &RunKey| {
             let run = &self.runs[run];
-            run.trial && !run.proven && !self.start_together(run.step, step)
+            run.trial && !run.proven && !self.are_same_gang(run.step, step)
         };
         worker.trials > 0 && worker.runs.iter().any(is_active_trial)
     }
 
-    fn start_together(&self, one: StepKey, other: StepKey) -> bool {
+    fn are_same_gang(&self, one: StepKey, other: StepKey) -> bool {
         one == other && self.steps[one].step().gang
     }
 
     /// The place where a suspect does the least harm: where nothing else is just being
     /// started, so that a crash shows who is to blame, on a machine that it has not
     /// crashed yet, and with the fewest processors in use.
-    pub(super) fn trial_place(
+    pub(super) fn trial_worker(
         &self,
         key: StepKey,
         index: u32,
-        places: &[Place],
+        places: &[PlacementCandidate],
         now: Millis,
     ) -> Option<WorkerKey> {
-        if !self.may_be_tried(key) {
+        if !self.may_start_trial(key) {
             return None;
         }
         let losses = &self.steps[key].tasks[index as usize].losses;
         let quiet = places
             .iter()
             .map(|place| place.worker)
-            .filter(|&worker| self.is_quiet(worker, key, now));
+            .filter(|&worker| self.has_no_recent_start(worker, key, now));
         quiet.min_by_key(|&worker| {
             let worker = &self.workers[worker];
             let machine = &worker.entry.machine;
@@ -74,10 +74,10 @@
 
     /// Tells whether one more suspect of a step may be tried: a step may be at fault as a whole, and
     /// each try may cost a worker, so nothing more of it is tried before the last one is clear.
-    fn may_be_tried(&self, key: StepKey) -> bool {
+    fn may_start_trial(&self, key: StepKey) -> bool {
         let is_open = |&run: &RunKey| {
             let is_trial = self.runs[run].trial && !self.runs[run].proven;
-            is_trial || self.is_unheard(run)
+            is_trial || self.fell_silent_at_start(run)
         };
         let mut runs = self.steps[key].tasks.iter().flat_map(|task| &task.runs);
         let most = (self.workers.len() / tuning::WORKERS_PER_TRIAL).max(1);
@@ -86,12 +86,17 @@
     }
 
     /// Tells whether every other start on a worker was answered a while ago.
-    pub(super) fn is_quiet(&self, worker: WorkerKey, step: StepKey, now: Millis) -> bool {
+    pub(super) fn has_no_recent_start(
+        &self,
+        worker: WorkerKey,
+        step: StepKey,
+        now: Millis,
+    ) -> bool {
         self.workers[worker].runs.iter().all(|&run| {
             let run = &self.runs[run];
             let settled =
                 run.phase == Phase::Running && run.began_at + tuning::START_SETTLED_AFTER <= now;
-            settled || self.start_together(run.step, step)
+            settled || self.are_same_gang(run.step, step)
         })
     }
 }
--- a/src/cell/urgency.rs
+++ b/src/cell/urgency.rs
@@ -16,10 +16,10 @@
         let job = &self.jobs[step.job];
         match job.ordering.turn {
             Turn::Arrival => job.accepted_at,
-            Turn::LeastWork => self.work_left(job),
+            Turn::LeastWork => self.remaining_work(job),
             Turn::LeastLaxity => self.latest_start(job, step, now),
             Turn::Balanced => {
-                let price = self.work_left(job) / tuning::WORK_PER_RANK_MS;
+                let price = self.remaining_work(job) / tuning::WORK_PER_RANK_MS;
                 let latest = self.latest_start(job, step, now);
                 latest.saturating_add(price.min(tuning::MAX_WORK_PENALTY))
             }
@@ -32,13 +32,13 @@
         let granted = job.queue.stretch * job.critical_path as f64;
         let granted = job.queue.slack.saturating_add(granted as Millis);
         let due = self
-            .begins_at(job, step.name.time, now)
+            .deadline_base(job, step.name.time, now)
             .saturating_add(granted);
-        due.saturating_sub(self.chain_left(job, step.name.time))
+        due.saturating_sub(self.remaining_critical_path(job, step.name.time))
     }
 
     /// From when on a job's time counts: since it was taken in, or since a scheduled time was due.
-    fn begins_at(&self, job: &Job, time: u32, now: Millis) -> Millis {
+    fn deadline_base(&self, job: &Job, time: u32, now: Millis) -> Millis {
         let (Some(schedule), Some(today)) = (job.spec.schedule, self.unix_time) else {
             return job.accepted_at;
         };
@@ -47,7 +47,7 @@
             .max(job.accepted_at)
     }
 
-    fn chain_left(&self, job: &Job, time: u32) -> Millis {
+    fn remaining_critical_path(&self, job: &Job, time: u32) -> Millis {
         let Some(steps) = job.occurrences.get(&time) else {
             return 0;
         };
@@ -55,7 +55,7 @@
     }
 
     /// The work of all tasks of a job that are not done, in core-milliseconds.
-    fn work_left(&self, job: &Job) -> Millis {
+    fn remaining_work(&self, job: &Job) -> Millis {
         let steps = job
             .occurrences
             .values()
