--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -1,4 +1,4 @@
-//! Deciding which waiting task starts where.
+//! Placement: which waiting task starts on which worker.
 
 use std::sync::Arc;
 
@@ -9,42 +9,46 @@
 use crate::cell::{Cell, RunKey, StepKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
-/// Where a task may go, with the room that is left for more of its step.
+/// A worker on which a task of a step can start now.
 pub(super) struct PlacementCandidate {
     pub(super) worker: WorkerKey,
+    /// How many tasks of the step can start there.
     fit: u32,
+    /// Lower is better.
     score: u64,
 }
 
-/// Where and how a task is to start.
+/// Where and how a task is to be started.
 struct Placement {
     worker: WorkerKey,
-    /// The number that all members of a gang share; none to draw one.
+    /// The run number that all members of a gang share; `None` to assign a new one.
     number: Option<u64>,
-    /// It is tried by itself.
+    /// It is a trial: it runs isolated, since its task may crash its worker.
     trial: bool,
 }
 
-/// A start that was ordered, for the log.
+/// A start that was ordered or planned, for the log.
 struct OrderedStart {
     index: u32,
     run: u64,
     worker: WorkerKey,
     free_millicores: u64,
     heard_ms_ago: Millis,
-    /// It is recorded before it is sent.
+    /// The start is recorded before it is sent.
     is_planned: bool,
 }
 
 impl Cell {
-    /// Starts what can start now and asks about what lacks tickets.
+    /// Runs one scheduling round: starts the tasks that can start now, and asks the advice service
+    /// about steps that lack tickets.
     pub fn schedule(&mut self, now: Millis) {
         self.update_unknown_usage(now);
-        // A start that is dropped now waits again, so that is done before it is asked what waits.
+        // A task whose planned start is dropped here waits again, so this comes before waiting
+        // tasks are collected.
         self.send_planned_starts(now);
         let mut order: Vec<(u32, Millis, usize, StepKey)> = Vec::new();
         let awaiting_poll = self.jobs_awaiting_poll();
-        for (place, &key) in self.open_steps.iter().enumerate() {
+        for (position, &key) in self.open_steps.iter().enumerate() {
             let step = &self.steps[key];
             if !step.ready {
                 continue;
@@ -53,12 +57,12 @@
             if !job.queue_configured || self.is_unsettled(step, &awaiting_poll) {
                 continue;
             }
-            // Of most steps all tasks run, and a rank takes a look at the whole job.
+            // Checked before the rank, which goes over the whole job: of most steps all tasks run.
             if self.waiting_tasks(key, now).next().is_none() {
                 continue;
             }
             let rank = self.rank(key, now);
-            order.push((job.ordering.priority, rank, place, key));
+            order.push((job.ordering.priority, rank, position, key));
         }
         order.sort_unstable();
         let mut round = Round::new(now);
@@ -71,7 +75,7 @@
         self.waiting = round.waiting;
     }
 
-    /// Starts what can start of a step, and tells what keeps the rest of its tasks waiting.
+    /// Starts the tasks of a step that can start now; returns why the others wait, and how many.
     fn schedule_step(&mut self, key: StepKey, round: &mut Round) -> Option<(WaitReason, usize)> {
         let waiting: Vec<u32> = self.waiting_tasks(key, round.now).collect();
         if waiting.is_empty() {
@@ -86,8 +90,8 @@
         let mut left = waiting.len() as u32;
         let mut started = Vec::new();
         let mut limit = None;
-        let mut places = self.placement_candidates(key, round);
-        let doubted = self.is_step_suspect(key);
+        let mut candidates = self.placement_candidates(key, round);
+        let is_step_suspect = self.is_step_suspect(key);
         let mut planned_starts_left = self.planned_starts_left(key);
         for index in waiting {
             limit = self.exceeded_limit(key, 1);
@@ -95,11 +99,11 @@
                 break;
             }
             let task = &self.steps[key].tasks[index as usize];
-            let trial = doubted || task.is_suspect();
+            let trial = is_step_suspect || task.is_suspect();
             let worker = if trial {
-                self.trial_worker(key, index, &places, round.now)
+                self.trial_worker(key, index, &candidates, round.now)
             } else {
-                best_worker(&places, task.avoid)
+                best_worker(&candidates, task.avoid)
             };
             let Some(worker) = worker else {
                 if trial {
@@ -113,13 +117,13 @@
                 }
                 planned_starts_left -= 1;
             }
-            let place = Placement {
+            let placement = Placement {
                 worker,
                 number: None,
                 trial,
             };
-            started.extend(self.start(key, index, place, round));
-            self.refresh_candidate(&mut places, key, worker, round);
+            started.extend(self.start(key, index, placement, round));
+            self.refresh_candidate(&mut candidates, key, worker, round);
             left -= 1;
         }
         self.log_starts(key, &started, round.now);
@@ -133,33 +137,34 @@
         Some((reason, left as usize))
     }
 
-    /// So many tasks of a step found no place: asks about more workers, keeps room that comes free, and
-    /// wakes parked workers.
+    /// Seeks room for so many tasks of a step that could not be placed: wakes parked workers, asks
+    /// the advice service about more workers, and reserves room that becomes free.
     fn request_capacity(&mut self, key: StepKey, tasks: u32, round: &mut Round) {
         let (now, step) = (round.now, &self.steps[key]);
-        let whole = match step.step().gang {
+        let tasks_to_place = match step.step().gang {
             true => step.tasks.len() as u32,
             false => tasks,
         };
         if self.jobs[step.job].queue.advice.is_none() {
-            self.unpark_for_step(key, whole, now);
+            self.unpark_for_step(key, tasks_to_place, now);
         }
         self.request_advice(key, tasks, round);
-        self.reserve(key, whole, round);
+        self.reserve(key, tasks_to_place, round);
     }
 
-    /// What a step lacks that no limit holds back: tickets, or room where it may run.
+    /// Why tasks of a step wait that are within all limits: for tickets, or for room on the workers
+    /// that may run them.
     fn placement_wait_reason(&self, key: StepKey, now: Millis) -> WaitReason {
         let step = &self.steps[key];
-        let asks = self.jobs[step.job].queue.advice.is_some();
+        let uses_advice = self.jobs[step.job].queue.advice.is_some();
         let mut ticketed = step.advice.tickets.keys();
-        match asks && !ticketed.any(|&worker| self.has_valid_ticket(key, worker, now)) {
+        match uses_advice && !ticketed.any(|&worker| self.has_valid_ticket(key, worker, now)) {
             true => WaitReason::Advice,
             false => WaitReason::NoRoom,
         }
     }
 
-    /// Which limit keeps so many more tasks of a step from starting, if one does.
+    /// The limit, if any, that starting so many more tasks of a step would exceed.
     pub(super) fn exceeded_limit(&self, key: StepKey, tasks: u32) -> Option<WaitReason> {
         if !self.is_within_quota(key, tasks) {
             return Some(WaitReason::Quota);
@@ -167,7 +172,8 @@
         (!self.is_within_cap(key, tasks)).then_some(WaitReason::Cap)
     }
 
-    /// Tells whether the policy lets the step's queue hold so many more tasks of it.
+    /// Returns whether so many more tasks of a step are within the quota that the policy gives its
+    /// queue.
     fn is_within_quota(&self, key: StepKey, tasks: u32) -> bool {
         let step = &self.steps[key];
         let job = &self.jobs[step.job];
@@ -182,7 +188,8 @@
         held + u64::from(tasks) * step.step().room().millicores <= quota
     }
 
-    /// The tasks that neither run nor are done, and those of which a copy should run.
+    /// The tasks that may be started: those that neither run nor are done, and those of which a
+    /// speculative run should be started.
     fn waiting_tasks(&self, key: StepKey, now: Millis) -> impl Iterator<Item = u32> {
         let tasks = self.steps[key].tasks.iter().enumerate();
         tasks
@@ -194,7 +201,7 @@
             .map(|(index, _)| index as u32)
     }
 
-    /// Tells whether a second copy of a task should run beside a slow one.
+    /// Returns whether a second, speculative run of a task should be started beside a slow one.
     fn needs_speculative_run(&self, key: StepKey, runs: &[RunKey]) -> bool {
         let [only] = runs else {
             return false;
@@ -202,8 +209,8 @@
         self.steps[key].step().copies && self.runs[*only].progress.slow
     }
 
-    /// How many tasks of the step a worker holds; zero if it may hold any number of them, since
-    /// counting goes over all that runs there.
+    /// How many tasks of a step a worker holds, for steps that limit this.  For others it is zero,
+    /// which saves going over all runs of the worker.
     pub(super) fn tasks_on_worker(&self, key: StepKey, worker: WorkerKey) -> u32 {
         if self.steps[key].step().per_worker == 0 {
             return 0;
@@ -215,7 +222,7 @@
             .count() as u32
     }
 
-    /// The places where a task of the step could start now.
+    /// The workers on which a task of a step could start now, best first.
     pub(super) fn placement_candidates(
         &self,
         key: StepKey,
@@ -224,11 +231,11 @@
         let step = &self.steps[key];
         let queue = &self.jobs[step.job].queue;
         let spec = step.step();
-        let mut places = Vec::new();
+        let mut candidates = Vec::new();
         if queue.advice.is_some() {
             for (&worker, ticket) in &step.advice.tickets {
                 if ticket.expires > round.now + tuning::TICKET_MARGIN {
-                    places.extend(self.placement_candidate(
+                    candidates.extend(self.placement_candidate(
                         key,
                         step,
                         worker,
@@ -239,12 +246,21 @@
             }
         } else {
             for worker in self.workers.keys() {
-                places.extend(self.placement_candidate(key, step, worker, &queue.service, round));
+                candidates.extend(self.placement_candidate(
+                    key,
+                    step,
+                    worker,
+                    &queue.service,
+                    round,
+                ));
             }
         }
-        places.sort_unstable_by_key(|place| (place.score, place.worker));
-        debug_assert!(places.iter().all(|place| place.fit > 0), "{spec:?}");
-        places
+        candidates.sort_unstable_by_key(|candidate| (candidate.score, candidate.worker));
+        debug_assert!(
+            candidates.iter().all(|candidate| candidate.fit > 0),
+            "{spec:?}"
+        );
+        candidates
     }
 
     fn placement_candidate(
@@ -264,8 +280,8 @@
         if self.hosts_trial(worker_key, key) {
             return None;
         }
-        let here = self.tasks_on_worker(key, worker_key);
-        let fit = worker.fit(spec, here);
+        let present = self.tasks_on_worker(key, worker_key);
+        let fit = worker.fit(spec, present);
         let fit = self.unreserved_fit(spec, worker_key, fit, round);
         (fit > 0).then(|| PlacementCandidate {
             worker: worker_key,
@@ -274,25 +290,26 @@
         })
     }
 
-    /// Lower is better: tightest fit, but lasting tasks and fillers spread out; the
-    /// rack where the data lies goes first, workers that are not listed go last.
+    /// The score of a worker for a step; lower is better.  The tightest fit goes first, except that
+    /// lasting tasks, fillers and jobs that the policy spreads go to the emptiest worker.  The rack
+    /// where the data lies goes before others, and workers that the platform does not list go last.
     fn score(&self, step: &StepRun, key: WorkerKey) -> u64 {
         let spec = step.step();
         let worker = &self.workers[key];
         let free = worker.free();
-        let far = match &spec.near {
+        let rack_penalty = match &spec.near {
             Some(rack) if worker.entry.rack.as_ref() != Some(rack) => 1_000_000_000,
             _ => 0,
         };
-        // It may leave without a word, or its entry may come back.
-        let doubtful = match worker.unlisted_since {
+        // It may be leaving without notice, or its entry may come back.
+        let unlisted_penalty = match worker.unlisted_since {
             Some(_) => 10_000_000_000,
             None => 0,
         };
         let spread = spec.lasting || spec.filler || self.jobs[step.job].ordering.spread;
         let left = free.millicores.saturating_sub(spec.room().millicores);
-        doubtful
-            + far
+        unlisted_penalty
+            + rack_penalty
             + if spread {
                 100_000_000 - left.min(100_000_000)
             } else {
@@ -300,26 +317,26 @@
             }
     }
 
-    /// A start changes nothing but the place that it takes, so the others are not looked at anew
-    /// for each task of a step.
+    /// Updates the candidates of a step after one of its tasks was placed on `worker`.  A start
+    /// affects that worker only, so the others are not examined again for each task.
     fn refresh_candidate(
         &self,
-        places: &mut Vec<PlacementCandidate>,
+        candidates: &mut Vec<PlacementCandidate>,
         key: StepKey,
         worker: WorkerKey,
         round: &mut Round,
     ) {
-        places.retain(|place| place.worker != worker);
+        candidates.retain(|candidate| candidate.worker != worker);
         let step = &self.steps[key];
         let service = &self.jobs[step.job].queue.service;
-        if let Some(place) = self.placement_candidate(key, step, worker, service, round) {
-            let order = |place: &PlacementCandidate| (place.score, place.worker);
-            let at = places.partition_point(|other| order(other) < order(&place));
-            places.insert(at, place);
+        if let Some(candidate) = self.placement_candidate(key, step, worker, service, round) {
+            let order = |other: &PlacementCandidate| (other.score, other.worker);
+            let at = candidates.partition_point(|other| order(other) < order(&candidate));
+            candidates.insert(at, candidate);
         }
     }
 
-    /// Starts all members of a gang, or none.
+    /// Starts all members of a gang or none; returns why they wait, and how many.
     fn schedule_gang(
         &mut self,
         key: StepKey,
@@ -333,66 +350,68 @@
         if let Some(limit) = self.exceeded_limit(key, size as u32) {
             return Some((limit, size));
         }
-        let mut places = self.placement_candidates(key, round);
+        let mut candidates = self.placement_candidates(key, round);
         let trial = self.is_step_suspect(key) || self.steps[key].tasks.iter().any(Task::is_suspect);
         if trial {
-            places.retain(|place| self.has_no_recent_start(place.worker, key, round.now));
+            candidates
+                .retain(|candidate| self.has_no_recent_start(candidate.worker, key, round.now));
         }
-        let Some(chosen) = self.gang_workers(key, &places, size) else {
-            let ticketed: u32 = places.iter().map(|place| place.fit).sum();
-            let missing = (size as u32).saturating_sub(ticketed);
+        let Some(chosen) = self.gang_workers(key, &candidates, size) else {
+            let fit: u32 = candidates.iter().map(|candidate| candidate.fit).sum();
+            let missing = (size as u32).saturating_sub(fit);
             self.request_capacity(key, missing, round);
             return Some((self.placement_wait_reason(key, round.now), size));
         };
         let number = self.next_run_number();
         let mut started = Vec::new();
         for (index, worker) in chosen.into_iter().enumerate() {
-            let place = Placement {
+            let placement = Placement {
                 worker,
                 number: Some(number),
                 trial,
             };
-            started.extend(self.start(key, index as u32, place, round));
+            started.extend(self.start(key, index as u32, placement, round));
         }
         self.log_starts(key, &started, round.now);
         None
     }
 
-    /// Finds places for all members, within one rack if that is wanted and possible.
+    /// Chooses a worker for each member of a gang, all within one rack if the step asks for that
+    /// and it is possible.
     fn gang_workers(
         &self,
         key: StepKey,
-        places: &[PlacementCandidate],
+        candidates: &[PlacementCandidate],
         size: usize,
     ) -> Option<Vec<WorkerKey>> {
         let expand =
-            |places: &mut dyn Iterator<Item = &PlacementCandidate>| -> Option<Vec<WorkerKey>> {
+            |candidates: &mut dyn Iterator<Item = &PlacementCandidate>| -> Option<Vec<WorkerKey>> {
                 let mut chosen = Vec::with_capacity(size);
-                for place in places {
-                    for _ in 0..place.fit.min((size - chosen.len()) as u32) {
-                        chosen.push(place.worker);
+                for candidate in candidates {
+                    for _ in 0..candidate.fit.min((size - chosen.len()) as u32) {
+                        chosen.push(candidate.worker);
                     }
                 }
                 (chosen.len() == size).then_some(chosen)
             };
         if self.steps[key].step().same_rack {
             let mut racks: Vec<&Option<String>> = Vec::new();
-            for place in places {
-                let rack = &self.workers[place.worker].entry.rack;
+            for candidate in candidates {
+                let rack = &self.workers[candidate.worker].entry.rack;
                 if !racks.contains(&rack) {
                     racks.push(rack);
                 }
             }
             for rack in racks {
-                let mut within = places
+                let mut within = candidates
                     .iter()
-                    .filter(|place| &self.workers[place.worker].entry.rack == rack);
+                    .filter(|candidate| &self.workers[candidate.worker].entry.rack == rack);
                 if let Some(chosen) = expand(&mut within) {
                     return Some(chosen);
                 }
             }
         }
-        expand(&mut places.iter())
+        expand(&mut candidates.iter())
     }
 
     fn next_run_number(&mut self) -> u64 {
@@ -400,17 +419,18 @@
         self.last_run_number
     }
 
-    /// Orders a start, after checking once more that it breaks no rule; or has it recorded first.
+    /// Orders a start, or has it recorded first, after checking once more that it breaks no rule.
+    /// Returns `None` if it breaks one, or if the clock of the worker is not known.
     fn start(
         &mut self,
         key: StepKey,
         index: u32,
-        place: Placement,
+        placement: Placement,
         round: &mut Round,
     ) -> Option<OrderedStart> {
-        let (now, worker_key) = (round.now, place.worker);
+        let (now, worker_key) = (round.now, placement.worker);
         round.forecasts.remove(worker_key);
-        let number = place.number.unwrap_or_else(|| self.next_run_number());
+        let number = placement.number.unwrap_or_else(|| self.next_run_number());
         self.workers[worker_key].clock?;
         if let Err(rule) = self.check_start(key, index, worker_key) {
             self.counts.violations += 1;
@@ -433,7 +453,7 @@
             restored: !self.steps[key].tasks[index as usize].saved.is_empty(),
             progress: Default::default(),
             stop: None,
-            trial: place.trial,
+            trial: placement.trial,
             proven: false,
         });
         if is_planned {
@@ -452,7 +472,7 @@
         })
     }
 
-    /// Orders the start of a run that has its place.
+    /// Orders the start of a run that has been added to its worker.
     pub(super) fn send_start(&mut self, key: RunKey, now: Millis) {
         let run = &self.runs[key];
         let (step_key, index, worker_key) = (run.step, run.index, run.worker);
@@ -486,23 +506,26 @@
         self.orders.push(Order::Start(order));
     }
 
-    /// Logs the starts of a step as one line: with a line for each, a busy owner wrote 90 KB
-    /// a second, and what it had logged two seconds before was lost.
+    /// Logs all starts of a step in one line.  With one line for each start, a busy owner wrote 90
+    /// KB of log a second, and entries older than two seconds were lost.
     fn log_starts(&self, key: StepKey, started: &[OrderedStart], now: Millis) {
         if started.is_empty() {
             return;
         }
         let step = &self.steps[key];
         let job = &self.jobs[step.job];
-        let texts = started.iter().map(|one| {
-            let worker = &self.workers[one.worker].entry.life.id;
-            let (free, heard) = (one.free_millicores, one.heard_ms_ago);
-            let first = if one.is_planned {
+        let texts = started.iter().map(|start| {
+            let worker = &self.workers[start.worker].entry.life.id;
+            let (free, heard) = (start.free_millicores, start.heard_ms_ago);
+            let first = if start.is_planned {
                 " recorded first"
             } else {
                 ""
             };
-            format!("{}:{}@{worker} {free} {heard}{first}", one.index, one.run)
+            format!(
+                "{}:{}@{worker} {free} {heard}{first}",
+                start.index, start.run
+            )
         });
         let texts: Vec<String> = texts.collect();
         tracing::info!(
@@ -515,7 +538,8 @@
         );
     }
 
-    /// The rules that no start may break, whatever was decided.
+    /// Checks the rules that every start must keep, independently of how it was chosen; returns the
+    /// name of the first one that it breaks.
     fn check_start(&self, key: StepKey, index: u32, worker: WorkerKey) -> Result<(), &'static str> {
         let step = &self.steps[key];
         let job = &self.jobs[step.job];
@@ -544,11 +568,11 @@
     }
 }
 
-/// The best place, but the one to avoid only if there is no other.
-fn best_worker(places: &[PlacementCandidate], avoid: Option<WorkerKey>) -> Option<WorkerKey> {
-    places
+/// The best worker; the one to avoid is chosen only if there is no other.
+fn best_worker(candidates: &[PlacementCandidate], avoid: Option<WorkerKey>) -> Option<WorkerKey> {
+    candidates
         .iter()
-        .find(|place| Some(place.worker) != avoid)
-        .or(places.first())
-        .map(|place| place.worker)
+        .find(|candidate| Some(candidate.worker) != avoid)
+        .or(candidates.first())
+        .map(|candidate| candidate.worker)
 }
