--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -1,12 +1,12 @@
-//! Asking which workers may run a step.
+//! Questions to the advice service about which workers may run a step.
 //!
-//! The advice service takes one question at a time from each node, so each node's
-//! *lane* is a resource of its own, and the time of an answer grows with the
-//! workers named in the question.  See "Advice" in `docs/DESIGN.md`.
+//! The service takes one question at a time from each node.  The owner of a cell may use every
+//! node's connection to it, a *lane*, for one question at a time.  The time that an answer takes
+//! grows with the number of workers named in the question.  See "Advice" in `docs/DESIGN.md`.
 //!
-//! Naming workers before they have room halved the time spent on questions where jobs
-//! wait for room, and such jobs earned 0.90 instead of 0.83 of their worth over days with
-//! faults (docs/DECISIONS.md).
+//! Questions also name workers that have no room yet.  Where jobs wait for room, this halved the
+//! time spent on questions, and raised what such jobs earned from 0.83 to 0.90 of their worth over
+//! days with faults (docs/DECISIONS.md).
 
 use std::rc::Rc;
 
@@ -20,34 +20,34 @@
 use crate::clock::Millis;
 use crate::queue::AdvicePolicy;
 
-/// One node's way to the advice service.
+/// One node's connection to the advice service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Lane {
     /// The node can be used.
     pub up: bool,
-    /// A question is on its way.
+    /// A question is in flight on it.
     pub busy: bool,
-    /// That question is a long one.
+    /// That question is expected to take longer than [`tuning::LONG_ADVICE`].
     pub long: bool,
 }
 
 /// A worker that a question may name.
 struct AdviceCandidate {
     worker: WorkerKey,
-    /// It is known to be good for the step.
-    good: bool,
-    /// How many tasks of the step have room there now.
+    /// The advice service has approved it for the step.
+    approved: bool,
+    /// How many of the tasks that need tickets have room there now.
     fit: u32,
-    /// When the first of them should have room.
+    /// When the first task is expected to have room there.
     free_at: Millis,
 }
 
 /// Workers that a question may name.
 #[derive(Default)]
 struct CandidatePool {
-    /// Tasks of the step have room there now.
+    /// At least one task of the step has room there now.
     with_room: Vec<AdviceCandidate>,
-    /// None has room there yet.
+    /// No task of the step has room there yet.
     full: Vec<AdviceCandidate>,
 }
 
@@ -61,15 +61,18 @@
 }
 
 impl Cell {
-    /// Tells which lanes there are; lanes keep their places.
+    /// Sets which lanes can be used, by index.  Lanes keep their index; those beyond the end of
+    /// `up` cannot be used.
     pub fn set_lanes(&mut self, up: &[bool]) {
         self.lanes
             .resize(up.len().max(self.lanes.len()), Lane::default());
-        for (place, lane) in self.lanes.iter_mut().enumerate() {
-            lane.up = up.get(place).copied().unwrap_or(false);
+        for (index, lane) in self.lanes.iter_mut().enumerate() {
+            lane.up = up.get(index).copied().unwrap_or(false);
         }
     }
 
+    /// Finds a free lane for a question.  Long questions leave one of several usable lanes to short
+    /// ones.
     fn free_lane(&self, long: bool) -> Option<usize> {
         let up = self.lanes.iter().filter(|lane| lane.up).count();
         let long_busy = self
@@ -83,8 +86,8 @@
         self.lanes.iter().position(|lane| lane.up && !lane.busy)
     }
 
-    /// Asks about a step that lacks tickets for `needed` tasks, if a lane is free and
-    /// there are workers with room to ask about.
+    /// Asks about a step that lacks tickets for `needed` tasks, if a lane is free and there are
+    /// workers to ask about.
     pub(super) fn request_advice(&mut self, key: StepKey, needed: u32, round: &mut Round) {
         let now = round.now;
         let step = &self.steps[key];
@@ -118,7 +121,14 @@
         self.counts.questions += 1;
         let step = &mut self.steps[key];
         step.advice.asking = true;
-        tracing::info!(request = %step.name.job, step = %step.name, lane, workers = workers.len(), needed, "advice asked");
+        tracing::info!(
+            request = %step.name.job,
+            step = %step.name,
+            lane,
+            workers = workers.len(),
+            needed,
+            "advice asked"
+        );
         let workers = workers
             .into_iter()
             .map(|worker| (worker, self.workers[worker].entry.life.id.clone()))
@@ -132,11 +142,12 @@
         }));
     }
 
-    /// Chooses the workers to name, and tells whether they should be enough.  Those known to be good
-    /// whose tickets are gone come first, then unknown ones, each time those with the most room.
+    /// Chooses the workers to name in a question, and returns whether they are expected to be
+    /// enough. Approved workers whose tickets have run out come first, then those not asked about
+    /// yet; among each, those with the most room come first.
     ///
-    /// What is good for a step never changes, so the first question also names workers
-    /// that have no room yet: a step that waits for room knows where to wait for it.
+    /// Whether a worker may run a step never changes, so the first question also names workers that
+    /// have no room yet: a step that waits for room then knows where to reserve it.
     fn select_advice_workers(
         &mut self,
         key: StepKey,
@@ -146,15 +157,15 @@
     ) -> (Vec<WorkerKey>, bool) {
         let now = round.now;
         let job = &self.jobs[self.steps[key].job];
-        let share = self.approval_rate(&job.queue.name);
+        let approval_rate = self.approval_rate(&job.queue.name);
         let answer_by =
             now + policy.duration(tuning::MAX_ADVICE_WORKERS) + tuning::ADVICE_LOOKAHEAD;
         let mut candidates = self.advice_candidates(key, needed, round);
-        candidates.retain(|candidate| !candidate.good || candidate.free_at <= answer_by);
+        candidates.retain(|candidate| !candidate.approved || candidate.free_at <= answer_by);
         candidates.sort_unstable_by_key(|candidate| {
             let less_room = u32::MAX - candidate.fit;
             (
-                !candidate.good,
+                !candidate.approved,
                 less_room,
                 candidate.free_at,
                 candidate.worker,
@@ -169,18 +180,23 @@
             if (expected >= wanted && !cheap) || chosen.len() >= tuning::MAX_ADVICE_WORKERS {
                 break;
             }
-            expected += f64::from(candidate.fit) * if candidate.good { 1.0 } else { share };
+            expected += f64::from(candidate.fit)
+                * if candidate.approved {
+                    1.0
+                } else {
+                    approval_rate
+                };
             chosen.push(candidate.worker);
         }
         let are_enough = expected >= wanted || chosen.len() >= tuning::MAX_ADVICE_WORKERS;
         (chosen, are_enough)
     }
 
-    /// Workers that might run the step, now or later, and for which it has no ticket: all that are known
-    /// to be good, and unknown ones until there are enough with room.
+    /// Workers that might run the step, now or later, and for which it has no valid ticket: all
+    /// that are approved, and workers not asked about yet until there are enough with room.
     ///
-    /// Each look begins elsewhere: steps that ask at the same time would be sent to the same
-    /// workers, of which the first to be answered takes the room.
+    /// Each search starts at another worker.  Otherwise steps that ask at the same time would name
+    /// the same workers, and the first one answered would take their room.
     fn advice_candidates(
         &mut self,
         key: StepKey,
@@ -189,55 +205,57 @@
     ) -> Vec<AdviceCandidate> {
         let step = &self.steps[key];
         let room = step.step().room();
-        let good = step.advice.tickets.keys();
-        let mut found = CandidatePool::default();
+        let approved = step.advice.tickets.keys();
+        let mut pool = CandidatePool::default();
         for candidate in
-            good.filter_map(|&good| self.advice_candidate(key, good, needed, round.now))
+            approved.filter_map(|&worker| self.advice_candidate(key, worker, needed, round.now))
         {
-            found.push(candidate);
+            pool.push(candidate);
         }
-        let known = found.with_room.len();
-        let looked_at = self.add_unasked_candidates(key, needed, round, &mut found);
-        // To foresee when room comes free on each worker of a full cell takes most of a round.
-        if found.with_room.len() - known >= tuning::MAX_ADVICE_WORKERS {
-            found.full.retain(|candidate| candidate.good);
+        let approved_with_room = pool.with_room.len();
+        let examined = self.add_unasked_candidates(key, needed, round, &mut pool);
+        // Forecasting when room becomes free on each worker of a full cell takes most of a round.
+        if pool.with_room.len() - approved_with_room >= tuning::MAX_ADVICE_WORKERS {
+            pool.full.retain(|candidate| candidate.approved);
         }
-        for candidate in &mut found.full {
+        for candidate in &mut pool.full {
             candidate.free_at = self.forecast(candidate.worker, round).earliest_fit(&room);
         }
-        found.with_room.append(&mut found.full);
-        self.counts.advice_workers += looked_at;
-        found.with_room
+        pool.with_room.append(&mut pool.full);
+        self.counts.advice_workers += examined;
+        pool.with_room
     }
 
-    /// Finds workers of which it is not known whether they are good, until there are enough with room;
-    /// tells how many were looked at.
+    /// Adds workers that the step has not asked about yet, until there are enough with room;
+    /// returns how many workers were examined.
     fn add_unasked_candidates(
         &self,
         key: StepKey,
         needed: u32,
         round: &mut Round,
-        found: &mut CandidatePool,
+        pool: &mut CandidatePool,
     ) -> u64 {
         let advice = &self.steps[key].advice;
-        let most = found.with_room.len() + tuning::ADVICE_CANDIDATES;
-        let mut looked_at = 0;
+        let max_with_room = pool.with_room.len() + tuning::ADVICE_CANDIDATES;
+        let mut examined = 0;
         for worker in self.usable_workers_rotated(key, round) {
-            if found.with_room.len() == most {
+            if pool.with_room.len() == max_with_room {
                 break;
             }
-            looked_at += 1;
+            examined += 1;
             if advice.tickets.contains_key(&worker) || advice.rejected.contains(&worker) {
                 continue;
             }
             if let Some(candidate) = self.advice_candidate(key, worker, needed, round.now) {
-                found.push(candidate);
+                pool.push(candidate);
             }
         }
-        looked_at
+        examined
     }
 
-    /// A worker that a question about a step may name; its room is free at once if it has any.
+    /// Returns a worker as a candidate for a question about a step, unless the step has a valid
+    /// ticket for it or cannot use it.  `free_at` is set to `now`, which is right only if there is
+    /// room now.
     fn advice_candidate(
         &self,
         key: StepKey,
@@ -261,26 +279,26 @@
         };
         Some(AdviceCandidate {
             worker: worker_key,
-            good: step.advice.tickets.contains_key(&worker_key),
+            approved: step.advice.tickets.contains_key(&worker_key),
             fit: fit.min(needed),
             free_at: now,
         })
     }
 
-    /// The workers of a step's service that will take work, from a place on that differs from step to
-    /// step and from time to time.
+    /// The workers of a step's service that will take work, starting at a position that depends on
+    /// the step and the time.
     fn usable_workers_rotated(
         &self,
         key: StepKey,
         round: &mut Round,
     ) -> impl Iterator<Item = WorkerKey> + use<> {
         let usable = self.usable_workers(key, round);
-        let place = xxh3_64(&(key.data().as_ffi() ^ round.now).to_le_bytes()) as usize;
-        let first = place.checked_rem(usable.len()).unwrap_or_default();
-        (0..usable.len()).map(move |place| usable[(first + place) % usable.len()])
+        let hash = xxh3_64(&(key.data().as_ffi() ^ round.now).to_le_bytes()) as usize;
+        let first = hash.checked_rem(usable.len()).unwrap_or_default();
+        (0..usable.len()).map(move |offset| usable[(first + offset) % usable.len()])
     }
 
-    /// The workers of a step's service that will take work, found once a round.
+    /// The workers of a step's service that will take work, computed once a round.
     fn usable_workers(&self, key: StepKey, round: &mut Round) -> Rc<[WorkerKey]> {
         let service = &self.jobs[self.steps[key].job].queue.service;
         if let Some(usable) = round.usable_workers.get(service) {
@@ -297,6 +315,8 @@
         usable
     }
 
+    /// The share of workers named in questions of a queue that the advice service approves, learned
+    /// from its answers.
     fn approval_rate(&self, queue: &str) -> f64 {
         self.good_share
             .get(queue)
@@ -304,18 +324,18 @@
             .unwrap_or(tuning::INITIAL_APPROVED_SHARE)
     }
 
-    /// Tells whether a ticket for the worker can still be used.
+    /// Returns whether the step has a ticket for the worker that can still be used.
     pub(super) fn has_valid_ticket(&self, key: StepKey, worker: WorkerKey, now: Millis) -> bool {
         let ticket = self.steps[key].advice.tickets.get(&worker);
         ticket.is_some_and(|ticket| ticket.expires > now + tuning::TICKET_MARGIN)
     }
 
-    /// Takes in the answer to `order`: the workers that may run the step, with their
-    /// tickets, or nothing if no answer came.
+    /// Handles the answer to `order`: the ids of the workers that may run the step, each with its
+    /// ticket, or `None` if no answer came.
     pub fn advised(
         &mut self,
         order: &AdviceOrder,
-        good: Option<Vec<(String, String)>>,
+        approved: Option<Vec<(String, String)>>,
         now: Millis,
     ) {
         if let Some(lane) = self.lanes.get_mut(order.lane) {
@@ -326,23 +346,35 @@
         };
         step.advice.asking = false;
         step.advice.asked = now;
-        let Some(good) = good else {
-            tracing::info!(request = %order.name.job, step = %order.name, lane = order.lane, "advice failed");
+        let Some(approved) = approved else {
+            tracing::info!(
+                request = %order.name.job,
+                step = %order.name,
+                lane = order.lane,
+                "advice failed"
+            );
             return;
         };
         let job = &self.jobs[step.job];
         let Some(policy) = job.queue.advice else {
             return;
         };
-        tracing::info!(request = %order.name.job, step = %order.name, lane = order.lane, asked = order.workers.len(), good = good.len(), "advice came");
-        let share = good.len() as f64 / order.workers.len().max(1) as f64;
-        let learned = self
+        tracing::info!(
+            request = %order.name.job,
+            step = %order.name,
+            lane = order.lane,
+            asked = order.workers.len(),
+            good = approved.len(),
+            "advice came"
+        );
+        let share = approved.len() as f64 / order.workers.len().max(1) as f64;
+        let approval_rate = self
             .good_share
             .entry(job.queue.name.clone())
             .or_insert(tuning::INITIAL_APPROVED_SHARE);
-        *learned += tuning::APPROVED_SHARE_WEIGHT * (share - *learned);
+        *approval_rate += tuning::APPROVED_SHARE_WEIGHT * (share - *approval_rate);
         for (worker, id) in &order.workers {
-            match good.iter().find(|(good_id, _)| good_id == id) {
+            match approved.iter().find(|(approved_id, _)| approved_id == id) {
                 Some((_, text)) => {
                     let ticket = Ticket {
                         text: text.clone(),
