--- a/src/cell/plan.rs
+++ b/src/cell/plan.rs
@@ -1,10 +1,11 @@
-//! Starts that are recorded before they are sent.
+//! Planned starts: starts that are recorded before they are sent.
 //!
-//! What an owner has started and not recorded is forgotten with it, so a task that crashes its
-//! workers could be started once by each of many owners that are lost soon after.  A start is
-//! recorded first if its task is under suspicion, or if a worker is over of which the former owner
-//! may have told nothing.  So no more than one start of a task is ever forgotten, however
-//! many owners are lost (docs/DESIGN.md, "Tasks that crash their workers").
+//! A successor does not know of a start that the owner has sent and not recorded.  So a task that
+//! crashes its workers could be started once more by each of many owners that are lost soon after
+//! the start.  To prevent this, a start is recorded first if its task needs a trial, or if a life
+//! of a worker has ended on which a predecessor may have started tasks without recording them.  So
+//! no more than one start of a task ever stays unknown, however many owners are lost
+//! (docs/DESIGN.md, "Tasks that crash their workers").
 
 use crate::cell::crash::LossKey;
 use crate::cell::job::Phase;
@@ -12,16 +13,18 @@
 use crate::clock::Millis;
 
 impl Cell {
-    /// Tells whether a start of a task is recorded before it is sent.
+    /// Returns whether a start of a task must be recorded before it is sent.
     pub(super) fn is_recorded_first(&self, key: StepKey, index: u32) -> bool {
         self.jobs[self.steps[key].job].record_starts_first || self.needs_trial(key, index)
     }
 
-    /// A life that the former owner may have used is over, or unheard for good: what it had started
-    /// there, and not recorded, is forgotten.  So it is of jobs that are not read yet.
+    /// Assumes that the predecessor has started tasks that no record shows: a life of a worker that
+    /// it may have used has ended or will not answer any more, or its roster could not be read
+    /// whole.  Marks all jobs that the predecessor may have known, so that their further starts are
+    /// recorded first; jobs that are not read yet are marked when they are.
     pub(super) fn assume_unrecorded_starts(&mut self) {
         if self.may_have_unrecorded_starts {
-            // Jobs that were taken in since are marked already.
+            // Jobs read since then were marked as they were taken in.
             return;
         }
         self.may_have_unrecorded_starts = true;
@@ -32,12 +35,12 @@
             epoch = self.epoch,
             jobs = self.jobs.len(),
             some_are_unread = self.has_unread_jobs,
-            "starts of a former owner may be forgotten"
+            "a predecessor may have started tasks that are not recorded"
         );
     }
 
-    /// Each start of a job is recorded first from now on, if a former owner may have started its
-    /// tasks.
+    /// Has each further start of a job recorded before it is sent, if a predecessor may have
+    /// started its tasks.
     pub(super) fn set_record_starts_first(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         if job.predates && !job.record_starts_first && !job.state.is_final() {
@@ -46,14 +49,15 @@
         }
     }
 
-    /// Notes a run whose start is to be recorded; it holds its room from here on.
+    /// Notes a run whose start is to be recorded before it is sent; it holds its room meanwhile.
     pub(super) fn plan_start(&mut self, key: RunKey) {
         self.counts.planned += 1;
         self.planned.push(key);
         self.note_planned_start(key);
     }
 
-    /// How many more starts of a step may be recorded first: a job's row is bounded.
+    /// How many more starts may be planned for the job of a step; the size of a job's row is
+    /// limited.
     pub(super) fn planned_starts_left(&self, key: StepKey) -> usize {
         let job = self.steps[key].job;
         let planned = self.planned.iter().filter_map(|&run| self.runs.get(run));
@@ -61,7 +65,8 @@
         tuning::MAX_PLANNED_STARTS.saturating_sub(of_job.count())
     }
 
-    /// Sends the starts that are recorded, and drops those whose place is no longer good.
+    /// Sends the planned starts that are recorded, and drops those whose placement is no longer
+    /// valid.
     pub(super) fn send_planned_starts(&mut self, now: Millis) {
         for key in std::mem::take(&mut self.planned) {
             if !self.is_planned(key) {
@@ -82,7 +87,8 @@
         run.is_some_and(|run| run.phase == Phase::Planned)
     }
 
-    /// Tells whether a successor would know of a planned start, and of those of all of its gang.
+    /// Returns whether a successor would know of a planned start; for a gang, of the starts of all
+    /// its members.
     fn is_plan_recorded(&self, key: RunKey) -> bool {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
@@ -97,15 +103,16 @@
         }
     }
 
-    /// Tells whether a crash would show that it was this start: the worker has been heard just before.
-    /// Its next look is not far, and a trial that tells nothing costs one more crash.
+    /// Returns whether a crash would show that this start caused it: the worker was heard just
+    /// before. Waiting for that is cheap, since the next poll of the worker is soon, and an
+    /// inconclusive trial costs one more crash.
     fn is_trial_conclusive(&self, key: RunKey, now: Millis) -> bool {
         let run = &self.runs[key];
         let step = &self.steps[run.step];
         !run.trial || step.step().gang || self.workers[run.worker].was_heard_recently(true, now)
     }
 
-    /// Tells whether a planned start can still be sent, to each member of its gang.
+    /// Returns whether a planned start can still be sent; for a gang, those of all its members.
     fn can_send_planned_start(&self, key: RunKey, now: Millis) -> bool {
         let step = self.runs[key].step;
         if !self.steps[step].step().gang {
@@ -139,9 +146,9 @@
             && self.takes_work(run.worker, now)
     }
 
-    /// A planned start is not sent, nor are those of its gang.
+    /// Drops a planned start without sending it, together with those of its gang.
     pub(super) fn drop_planned_start(&mut self, key: RunKey) {
-        // It may have been dropped with its gang.
+        // It may have been dropped with its gang already.
         let Some(step) = self.runs.get(key).map(|run| run.step) else {
             return;
         };
@@ -156,7 +163,12 @@
         for key in dropped {
             if let Some(run) = self.remove_run(key) {
                 let task = self.steps[run.step].task_name(run.index);
-                tracing::info!(request = %task.step.job, %task, run = run.number, "a start that was recorded first is not sent");
+                tracing::info!(
+                    request = %task.step.job,
+                    %task,
+                    run = run.number,
+                    "planned start is dropped before it is sent"
+                );
                 self.forget_loss(LossKey::of(&run));
             }
         }
