--- a/src/cell/reservation.rs
+++ b/src/cell/reservation.rs
@@ -1,14 +1,14 @@
-//! Keeping room for steps that wait for it.
+//! Reservations of room for waiting steps.
 //!
-//! A task that needs most of a worker never finds it empty while small ones take every
-//! core that comes free.  So a step that waits reserves the room that comes free first
-//! among the workers it may use; steps behind it may use that room only as long as they
-//! are done by then, or beside what is reserved (backfill).
-//! Reservations are made anew in each round of decisions, from the progress of what runs.
+//! A task that needs most of a worker would never find enough room while small tasks take every
+//! core as it becomes free.  So a waiting step reserves the room that becomes free first on the
+//! workers it may use.  Steps that come later in the order may use that room only if they are done
+//! by then, or if they fit beside what is reserved (backfill).  Reservations are made anew in each
+//! scheduling round, from the progress of the runs.
 //!
-//! On a site whose gangs take 2 to 8 of a worker's 8 accelerators beside tasks that take
-//! one, gangs earned 0.95 instead of 0.90 of their worth over days with faults, and other
-//! kinds of work the same within 0.01 (docs/DECISIONS.md).
+//! On a site whose gangs take 2 to 8 of a worker's 8 accelerators beside tasks that take one,
+//! gangs earned 0.95 of their worth with reservations and 0.90 without, over days with faults; the
+//! results of other kinds of work differed by no more than 0.01 (docs/DECISIONS.md).
 
 use crate::cell::round::Round;
 use crate::cell::spec::{Demand, Step};
@@ -18,13 +18,13 @@
 /// Room that is reserved on one worker.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Reservation {
-    /// For all steps that wait for it.
+    /// The sum over all steps that have reserved room there.
     room: Demand,
-    /// When the first of them should have it.
+    /// When the first of them is expected to get it.
     at: Millis,
 }
 
-/// Room that comes free for one task.
+/// Room for one task, and when it becomes free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Slot {
     at: Millis,
@@ -32,7 +32,8 @@
 }
 
 impl Cell {
-    /// Reserves room for `count` tasks of a step, where it comes free first.
+    /// Reserves room for `count` tasks of a step where it becomes free first; for a gang only if
+    /// there is room for all of them.
     pub(super) fn reserve(&self, key: StepKey, count: u32, round: &mut Round) {
         if round.reserving_steps >= tuning::MAX_RESERVING_STEPS || !self.may_reserve(key) {
             return;
@@ -45,10 +46,10 @@
             return;
         }
         round.reserving_steps += 1;
-        // Members of a gang start together, so all room is needed when the last of it is free.
-        let together = slots.last().filter(|_| spec.gang).map(|slot| slot.at);
+        // Members of a gang start together, so none needs its room before the last slot is free.
+        let gang_start = slots.last().filter(|_| spec.gang).map(|slot| slot.at);
         for slot in slots {
-            let at = together.unwrap_or(slot.at);
+            let at = gang_start.unwrap_or(slot.at);
             let reserved = round.reservations.entry(slot.worker);
             let reservation = reserved
                 .expect("a worker of the cell")
@@ -61,12 +62,12 @@
         }
     }
 
-    /// Tells whether the policy lets the step's job keep room from others.
+    /// Returns whether the policy allows the step's job to reserve room.
     fn may_reserve(&self, key: StepKey) -> bool {
         self.jobs[self.steps[key].job].ordering.reserves
     }
 
-    /// Where and when room for tasks of a step comes free beside what is reserved.
+    /// Where and when room for tasks of a step becomes free beside what is already reserved.
     fn slots(&self, key: StepKey, count: u32, round: &mut Round) -> Vec<Slot> {
         let step = &self.steps[key];
         let service = &self.jobs[step.job].queue.service;
@@ -98,7 +99,8 @@
         slots
     }
 
-    /// The workers that may run a step, as far as is known.
+    /// The workers that may run a step as far as is known: those with a ticket if the queue uses
+    /// the advice service, else all.
     fn eligible_workers(&self, key: StepKey) -> Vec<WorkerKey> {
         let step = &self.steps[key];
         match self.jobs[step.job].queue.advice {
@@ -107,7 +109,8 @@
         }
     }
 
-    /// How many of `fit` tasks of a step leave what is reserved on a worker alone.
+    /// How many of the `fit` tasks of a step that have room on a worker can start there without
+    /// delaying what is reserved on it.
     pub(super) fn unreserved_fit(
         &self,
         spec: &Step,
@@ -118,19 +121,19 @@
         let Some(&reservation) = round.reservations.get(worker) else {
             return fit;
         };
-        let ends = round.now + spec.estimate;
-        if !spec.lasting && ends <= reservation.at {
+        let end = round.now + spec.estimate;
+        if !spec.lasting && end <= reservation.at {
             return fit;
         }
-        let then = self.forecast(worker, round).free_at(reservation.at);
-        fit.min(then.minus(&reservation.room).times(&spec.room()))
+        let free = self.forecast(worker, round).free_at(reservation.at);
+        fit.min(free.minus(&reservation.room).times(&spec.room()))
     }
 }
 
-/// How many tasks of a step one worker may hold at most.
+/// How many of `count` tasks of a step one worker may hold at most.
 fn max_tasks_on_worker(spec: &Step, count: u32) -> u32 {
     match spec.per_worker {
         0 => count,
-        most => count.min(most),
+        max => count.min(max),
     }
 }
