--- a/src/cell/forecast.rs
+++ b/src/cell/forecast.rs
@@ -1,23 +1,25 @@
-//! When room comes free on a worker, as far as the progress of its runs tells.
+//! Forecasts of when room becomes free on a worker, from the progress of its runs.
 
 use crate::cell::round::Round;
 use crate::cell::spec::Demand;
 use crate::cell::{Cell, RunKey, WorkerKey, tuning};
 use crate::clock::Millis;
 
-/// The room of one worker, now and as its runs are expected to end.
+/// The free room of one worker, now and as its runs are expected to end.
 #[derive(Debug, Clone)]
 pub(super) struct Forecast {
-    /// The room that is free now.
+    /// Room that is free now.
     free: Demand,
-    /// What is given back and when, the soonest first; lasting runs are left out.
+    /// Expected ends of runs and the room that each frees, soonest first; runs of lasting steps
+    /// are left out.
     releases: Vec<(Millis, Demand)>,
-    /// Nothing starts there before.
+    /// No task starts there before this time: now, or later while the worker is shunned.
     not_before: Millis,
 }
 
 impl Forecast {
-    /// When there should be room for `wanted`; [`Millis::MAX`] if that cannot be foreseen.
+    /// When there is expected to be room for `wanted`; [`Millis::MAX`] if no known end of a run
+    /// frees enough.
     pub(super) fn earliest_fit(&self, wanted: &Demand) -> Millis {
         let mut free = self.free;
         if wanted.fits(&free) {
@@ -32,7 +34,7 @@
         Millis::MAX
     }
 
-    /// The room that should be free at a time.
+    /// The room that is expected to be free at a time.
     pub(super) fn free_at(&self, at: Millis) -> Demand {
         let mut free = self.free;
         for (_, room) in self.releases.iter().take_while(|(end, _)| *end <= at) {
@@ -43,8 +45,8 @@
 }
 
 impl Cell {
-    /// Foresees when room comes free on a worker; that holds for the round, unless something
-    /// starts there.
+    /// Returns the forecast of a worker.  It is computed once a round, and again after a start on
+    /// that worker.
     pub(super) fn forecast<'a>(&self, key: WorkerKey, round: &'a mut Round) -> &'a Forecast {
         let now = round.now;
         round
@@ -69,7 +71,7 @@
         }
     }
 
-    /// When a run should have ended; none for one that lasts.
+    /// When a run is expected to end; `None` for a lasting step, which runs until cancelled.
     fn expected_end(&self, key: RunKey, now: Millis) -> Option<Millis> {
         let run = &self.runs[key];
         if run.stop.is_some() {
