--- a/src/cell/urgency.rs
+++ b/src/cell/urgency.rs
@@ -1,7 +1,8 @@
-//! In which order the steps of one priority are considered.
+//! The order in which steps of the same priority are considered.
 //!
-//! When more is wanted than there is room for, that order decides who is late.  Each way gives a
-//! step a rank in milliseconds, and the lowest goes first (docs/design/full-cell.md).
+//! When demand exceeds capacity, this order decides which jobs are late.  Each [`Turn`] gives a
+//! step a rank in milliseconds (a time, or an amount of work), and the lowest rank goes first
+//! (docs/design/full-cell.md).
 
 use crate::cell::job::{Job, StepRun};
 use crate::cell::spec::{JobSpec, Step};
@@ -10,7 +11,7 @@
 use crate::policy::Turn;
 
 impl Cell {
-    /// The rank of a step among those of its priority.
+    /// The rank of a step among those of the same priority; the lowest goes first.
     pub(super) fn rank(&self, key: StepKey, now: Millis) -> Millis {
         let step = &self.steps[key];
         let job = &self.jobs[step.job];
@@ -19,15 +20,15 @@
             Turn::LeastWork => self.remaining_work(job),
             Turn::LeastLaxity => self.latest_start(job, step, now),
             Turn::Balanced => {
-                let price = self.remaining_work(job) / tuning::WORK_PER_RANK_MS;
+                let penalty = self.remaining_work(job) / tuning::WORK_PER_RANK_MS;
                 let latest = self.latest_start(job, step, now);
-                latest.saturating_add(price.min(tuning::MAX_WORK_PENALTY))
+                latest.saturating_add(penalty.min(tuning::MAX_WORK_PENALTY))
             }
         }
     }
 
-    /// When what is left of a job's longest chain must start at the latest to end in the time that
-    /// its queue grants.
+    /// The latest time at which the rest of a job's critical path must start, so that the job ends
+    /// within the time that its queue grants.
     fn latest_start(&self, job: &Job, step: &StepRun, now: Millis) -> Millis {
         let granted = job.queue.stretch * job.critical_path as f64;
         let granted = job.queue.slack.saturating_add(granted as Millis);
@@ -37,7 +38,8 @@
         due.saturating_sub(self.remaining_critical_path(job, step.name.time))
     }
 
-    /// From when on a job's time counts: since it was taken in, or since a scheduled time was due.
+    /// The time from which a job's granted time counts: when the job was taken in or, if later,
+    /// when the occurrence was due.
     fn deadline_base(&self, job: &Job, time: u32, now: Millis) -> Millis {
         let (Some(schedule), Some(today)) = (job.spec.schedule, self.unix_time) else {
             return job.accepted_at;
@@ -47,14 +49,15 @@
             .max(job.accepted_at)
     }
 
+    /// The length of the critical path over the steps of one occurrence with tasks left to do.
     fn remaining_critical_path(&self, job: &Job, time: u32) -> Millis {
         let Some(steps) = job.occurrences.get(&time) else {
             return 0;
         };
-        critical_path(&job.spec, |place| self.steps[steps[place]].open > 0)
+        critical_path(&job.spec, |index| self.steps[steps[index]].open > 0)
     }
 
-    /// The work of all tasks of a job that are not done, in core-milliseconds.
+    /// The estimated work of all tasks of a job that are not done, in core-milliseconds.
     fn remaining_work(&self, job: &Job) -> Millis {
         let steps = job
             .occurrences
@@ -66,18 +69,20 @@
     }
 }
 
+/// The estimated work of so many tasks of a step, in core-milliseconds.
 fn work_of(step: &Step, tasks: u32) -> u64 {
     let of_task = step.demand.millicores.saturating_mul(step.estimate.max(1));
     of_task.saturating_mul(u64::from(tasks)) / 1_000
 }
 
-/// How long the steps of a job take that count, one after the other as they must.
-pub(super) fn critical_path(spec: &JobSpec, counts: impl Fn(usize) -> bool) -> Millis {
+/// The length of a job's critical path by its caller's estimates; steps for which `is_included`
+/// returns false take no time.
+pub(super) fn critical_path(spec: &JobSpec, is_included: impl Fn(usize) -> bool) -> Millis {
     let mut ends: Vec<Millis> = Vec::with_capacity(spec.steps.len());
-    for (place, step) in spec.steps.iter().enumerate() {
-        let begins = step.after.iter().map(|&earlier| ends[earlier]).max();
-        let takes = if counts(place) { step.estimate } else { 0 };
-        ends.push(begins.unwrap_or_default().saturating_add(takes));
+    for (index, step) in spec.steps.iter().enumerate() {
+        let start = step.after.iter().map(|&earlier| ends[earlier]).max();
+        let duration = if is_included(index) { step.estimate } else { 0 };
+        ends.push(start.unwrap_or_default().saturating_add(duration));
     }
     ends.into_iter().max().unwrap_or_default()
 }
