--- a/src/cell/round.rs
+++ b/src/cell/round.rs
@@ -1,4 +1,4 @@
-//! One round of decisions: what was worked out in it, and how much that may be.
+//! State of one scheduling round: what is computed once a round, and limits on its work.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,28 +11,28 @@
 use crate::cell::{WorkerKey, tuning};
 use crate::clock::Millis;
 
-/// One round of decisions.
+/// One scheduling round.
 pub(super) struct Round {
-    /// Its time.
+    /// The time at which the round takes place.
     pub(super) now: Millis,
-    /// When room comes free on the workers that were looked at.
+    /// Forecasts of the workers for which one was needed in this round.
     pub(super) forecasts: SecondaryMap<WorkerKey, Forecast>,
-    /// Room that waiting steps have reserved.
+    /// Room that waiting steps have reserved, by worker.
     pub(super) reservations: SecondaryMap<WorkerKey, Reservation>,
     /// How many steps have reserved room.
     pub(super) reserving_steps: usize,
-    /// How many times a worker was looked at as a place for a step.
+    /// How many times a worker was examined as a placement candidate for a step.
     pub(super) candidates_examined: u64,
-    /// What waits, and for what.
+    /// How many tasks wait, by priority and reason.
     pub(super) waiting: Waiting,
-    /// The workers of a service that will take work, in the order of their keys.
+    /// By service, the workers that will take work, in the order of their keys.
     pub(super) usable_workers: BTreeMap<String, Rc<[WorkerKey]>>,
-    /// For how many steps workers to ask about were looked for.
+    /// How many steps have searched for workers to ask the advice service about.
     advice_searches: usize,
 }
 
 impl Round {
-    /// A round in which nothing is reserved yet.
+    /// Begins a round; nothing is reserved yet.
     pub(super) fn new(now: Millis) -> Self {
         Self {
             now,
@@ -46,14 +46,15 @@
         }
     }
 
-    /// So many tasks of a priority wait for a reason.
+    /// Records that so many tasks of a priority wait for a reason.
     pub(super) fn record_wait(&mut self, priority: u32, reason: WaitReason, tasks: usize) {
         if tasks > 0 {
             *self.waiting.entry((priority, reason)).or_default() += tasks as u32;
         }
     }
 
-    /// Counts a look for workers to ask about; false if there were enough in this round.
+    /// Counts a search for workers to ask the advice service about; returns false if it would
+    /// exceed the limit of this round.
     pub(super) fn admit_advice_search(&mut self) -> bool {
         self.advice_searches += 1;
         self.advice_searches <= tuning::MAX_ADVICE_SEARCHES
