--- a/src/cell/ledger.rs
+++ b/src/cell/ledger.rs
@@ -1,9 +1,9 @@
-//! What each workspace has running, against its cap.
+//! What the runs of each workspace hold, checked against its cap.
 //!
-//! A run is charged when its start is decided, and given back when nothing of it can go on: at its end,
-//! when its lease is over, or with the life of its worker.  What a former owner may have left on a
-//! worker that has not told yet is taken to be as much as the worker has room for (see "Workspaces"
-//! in `docs/DESIGN.md`).
+//! A run is charged to its workspace when its start is decided, and released when it can no longer
+//! be running: at its end, when its lease has run out, or when the life of its worker has ended.  A
+//! worker that has not reported yet may hold runs of a predecessor; these are taken to use the
+//! worker's whole capacity (see "Workspaces" in `docs/DESIGN.md`).
 
 use std::collections::BTreeMap;
 
@@ -17,17 +17,17 @@
 use crate::queue::Configuration;
 use crate::workspace::Workspace;
 
-/// What one workspace holds.
+/// The usage of one workspace.
 #[derive(Debug)]
 struct Account {
     workspace: Workspace,
-    /// By runs that go on or may.
+    /// The demand of all runs that are or may be going on.
     held: Demand,
-    /// At most, by runs that we do not know of.
+    /// An upper bound on the demand of runs that this owner does not know of.
     unknown: Demand,
 }
 
-/// What all workspaces hold.
+/// The usage of all workspaces.
 #[derive(Debug, Default)]
 pub(super) struct Ledger {
     accounts: SlotMap<WorkspaceKey, Account>,
@@ -35,7 +35,7 @@
 }
 
 impl Ledger {
-    /// The account of a workspace, as described if it is new.
+    /// Returns the account of a workspace; a new one is opened with the description given.
     pub(super) fn open_account(&mut self, workspace: &Workspace) -> WorkspaceKey {
         if let Some(&key) = self.keys_by_name.get(&workspace.name) {
             return key;
@@ -49,8 +49,8 @@
         key
     }
 
-    /// Caps and weights may have changed.  One that is not there any more keeps its last ones: what was
-    /// accepted is kept.
+    /// Takes caps and weights from a new configuration.  A workspace that is no longer in it keeps
+    /// its last ones, since its accepted jobs stay.
     pub(super) fn configure(&mut self, config: &Configuration) {
         for account in self.accounts.values_mut() {
             if let Some(workspace) = config.workspace(&account.workspace.name) {
@@ -59,28 +59,28 @@
         }
     }
 
-    /// A workspace as it is described.
+    /// The description of a workspace, as last configured.
     pub(super) fn workspace(&self, key: WorkspaceKey) -> &Workspace {
         &self.accounts[key].workspace
     }
 
-    /// What a workspace holds.
+    /// The demand of the known runs of a workspace.
     pub(super) fn held(&self, key: WorkspaceKey) -> Demand {
         self.accounts[key].held
     }
 
-    /// A run takes this.
+    /// Charges the demand of a run to a workspace.
     pub(super) fn charge(&mut self, key: WorkspaceKey, demand: &Demand) {
         self.accounts[key].held.add(demand);
     }
 
-    /// A run gives this back.
+    /// Releases the demand of a run.
     pub(super) fn release(&mut self, key: WorkspaceKey, demand: &Demand) {
         let account = &mut self.accounts[key];
         account.held = account.held.minus(demand);
     }
 
-    /// Tells whether a workspace may hold so much more.
+    /// Returns whether `wanted` is within a workspace's cap beside its known and unknown runs.
     pub(super) fn admits(&self, key: WorkspaceKey, wanted: &Demand) -> bool {
         let account = &self.accounts[key];
         let all = account.held.plus(&account.unknown).plus(wanted);
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Something may run in so much room for any workspace.
+    /// Adds room in which runs of any workspace may be going on.
     fn add_unknown_to_all(&mut self, room: &Demand) {
         for account in self.accounts.values_mut() {
             account.unknown.add(room);
         }
     }
 
-    /// Something may run in so much room for these.
+    /// Adds room in which runs of these workspaces may be going on.
     fn add_unknown(&mut self, keys: &[WorkspaceKey], room: &Demand) {
         for &key in keys {
             self.accounts[key].unknown.add(room);
@@ -108,7 +108,7 @@
     }
 }
 
-/// Whose runs a worker may hold that we do not know of.
+/// The workspaces of which a worker may hold runs that this owner does not know of.
 enum UnknownRuns {
     None,
     AnyWorkspace,
@@ -116,8 +116,8 @@
 }
 
 impl Cell {
-    /// Tells whether so many more tasks of a step are within their workspace's cap.  They count in
-    /// full, also the processors that fillers only borrow.
+    /// Returns whether so many more tasks of a step are within their workspace's cap.  Their full
+    /// demand counts, including processors that fillers only borrow.
     pub(super) fn is_within_cap(&self, key: StepKey, tasks: u32) -> bool {
         let step = &self.steps[key];
         let Some(workspace) = self.jobs[step.job].workspace else {
@@ -127,21 +127,23 @@
         self.ledger.admits(workspace, &wanted)
     }
 
-    /// Finds out what may run unknown to us, before anything is decided.
+    /// Recomputes what unknown runs of each workspace may hold; called before a round decides
+    /// anything.
     pub(super) fn update_unknown_usage(&mut self, now: Millis) {
         self.ledger.clear_unknown();
-        let mut any_workspace = Demand::default();
+        let mut any_workspace_room = Demand::default();
         for worker in self.workers.values() {
             let room = &worker.entry.capacity;
             match self.unknown_runs_on(worker, now) {
                 UnknownRuns::None => {}
-                UnknownRuns::AnyWorkspace => any_workspace.add(room),
+                UnknownRuns::AnyWorkspace => any_workspace_room.add(room),
                 UnknownRuns::Workspaces(keys) => self.ledger.add_unknown(&keys, room),
             }
         }
-        self.ledger.add_unknown_to_all(&any_workspace);
+        self.ledger.add_unknown_to_all(&any_workspace_room);
     }
 
+    /// Finds the workspaces that may have runs on a worker of which this owner does not know.
     fn unknown_runs_on(&self, worker: &Worker, now: Millis) -> UnknownRuns {
         if worker.unknown_runs > 0 || !worker.unread_jobs.is_empty() {
             return UnknownRuns::AnyWorkspace;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Counts all runs anew, and tells of how many workspaces the ledger says something else.
+    /// Recounts all runs, and returns for how many workspaces the ledger differs from that count.
     pub fn ledger_errors(&self) -> usize {
         let mut counted: BTreeMap<WorkspaceKey, Demand> = BTreeMap::new();
         for run in self.runs.values() {
