--- a/src/cell/trial.rs
+++ b/src/cell/trial.rs
@@ -1,8 +1,9 @@
-//! Trying tasks that may crash their workers, each by itself.
+//! Trials: isolated runs of tasks that may crash their workers.
 //!
-//! Whoever was beside a culprit is under suspicion as well, so the next start of a suspect is one
-//! that tells: alone, where it does the least harm, and few at a time (docs/DESIGN.md, "Tasks that
-//! crash their workers").
+//! Tasks that were started beside the one that crashed a worker are suspects as well.  So the next
+//! start of a suspect must show whether it is to blame: it is the only recent start on its worker,
+//! the worker is one where a crash does the least harm, and few trials run at a time
+//! (docs/DESIGN.md, "Tasks that crash their workers").
 
 use crate::cell::job::{Phase, Task};
 use crate::cell::schedule::PlacementCandidate;
@@ -10,29 +11,33 @@
 use crate::clock::Millis;
 
 impl Cell {
-    /// Tells whether a task is tried by itself: it may have crashed a worker, or its step is doubted.
+    /// Returns whether a task must be started as a trial: it may have crashed a worker, or its step
+    /// is suspect.
     pub(super) fn needs_trial(&self, key: StepKey, index: u32) -> bool {
         self.steps[key].tasks[index as usize].is_suspect() || self.is_step_suspect(key)
     }
 
-    /// Tells whether a task of a step may have crashed a worker, and none has shown that they can run.
+    /// Returns whether a step is suspect as a whole: one of its tasks may have crashed a worker,
+    /// and none is done or has run long enough to be cleared.
     pub(super) fn is_step_suspect(&self, key: StepKey) -> bool {
         let step = &self.steps[key];
-        let runs = |task: &Task| task.runs.iter().any(|&run| self.runs[run].proven);
-        let unheard = |task: &Task| task.runs.iter().any(|&run| self.fell_silent_at_start(run));
-        let doubted = |task: &Task| task.is_suspect() || unheard(task);
-        step.tasks.iter().any(doubted) && !step.tasks.iter().any(|task| task.done || runs(task))
+        let is_cleared = |task: &Task| task.runs.iter().any(|&run| self.runs[run].proven);
+        let fell_silent = |task: &Task| task.runs.iter().any(|&run| self.fell_silent_at_start(run));
+        let is_suspect = |task: &Task| task.is_suspect() || fell_silent(task);
+        step.tasks.iter().any(is_suspect)
+            && !step.tasks.iter().any(|task| task.done || is_cleared(task))
     }
 
-    /// Tells whether a worker fell silent while or just after a run was started there.
+    /// Returns whether the worker of a run fell silent while the run was being started, or just
+    /// after.
     fn fell_silent_at_start(&self, run: RunKey) -> bool {
         let run = &self.runs[run];
         let silent = self.workers[run.worker].silent_since;
         !run.proven && silent.is_some_and(|since| run.is_fresh(since))
     }
 
-    /// Tells whether a task is being tried by itself on a worker, other than those of a gang that
-    /// must start together.
+    /// Returns whether a trial is in progress on a worker.  Members of the same gang as `step` do
+    /// not count, since they must start together.
     pub(super) fn hosts_trial(&self, worker: WorkerKey, step: StepKey) -> bool {
         let worker = &self.workers[worker];
         let is_active_trial = |&run: &RunKey| {
@@ -46,46 +51,48 @@
         one == other && self.steps[one].step().gang
     }
 
-    /// The place where a suspect does the least harm: where nothing else is just being
-    /// started, so that a crash shows who is to blame, on a machine that it has not
-    /// crashed yet, and with the fewest processors in use.
+    /// Chooses the worker for a trial of a suspect.  It has no other recent start, so that a crash
+    /// shows which task is to blame.  Among those, machines on which the task was not lost before
+    /// go first, then workers with the fewest processors in use, where a crash does the least harm.
     pub(super) fn trial_worker(
         &self,
         key: StepKey,
         index: u32,
-        places: &[PlacementCandidate],
+        candidates: &[PlacementCandidate],
         now: Millis,
     ) -> Option<WorkerKey> {
         if !self.may_start_trial(key) {
             return None;
         }
         let losses = &self.steps[key].tasks[index as usize].losses;
-        let quiet = places
+        let workers = candidates
             .iter()
-            .map(|place| place.worker)
+            .map(|candidate| candidate.worker)
             .filter(|&worker| self.has_no_recent_start(worker, key, now));
-        quiet.min_by_key(|&worker| {
+        workers.min_by_key(|&worker| {
             let worker = &self.workers[worker];
             let machine = &worker.entry.machine;
-            let again = losses.iter().any(|loss| loss.machine == *machine);
-            (again, worker.used.millicores)
+            let was_lost_there = losses.iter().any(|loss| loss.machine == *machine);
+            (was_lost_there, worker.used.millicores)
         })
     }
 
-    /// Tells whether one more suspect of a step may be tried: a step may be at fault as a whole, and
-    /// each try may cost a worker, so nothing more of it is tried before the last one is clear.
+    /// Returns whether another trial of a step may start.  A step may be at fault as a whole, and
+    /// each trial may cost a worker, so the last suspect of the step must be cleared first.  The
+    /// number of trials in the cell is limited as well.
     fn may_start_trial(&self, key: StepKey) -> bool {
-        let is_open = |&run: &RunKey| {
+        let is_unresolved = |&run: &RunKey| {
             let is_trial = self.runs[run].trial && !self.runs[run].proven;
             is_trial || self.fell_silent_at_start(run)
         };
         let mut runs = self.steps[key].tasks.iter().flat_map(|task| &task.runs);
-        let most = (self.workers.len() / tuning::WORKERS_PER_TRIAL).max(1);
-        let all: u32 = self.workers.values().map(|worker| worker.trials).sum();
-        (all as usize) < most && !runs.any(is_open)
+        let max_trials = (self.workers.len() / tuning::WORKERS_PER_TRIAL).max(1);
+        let trials: u32 = self.workers.values().map(|worker| worker.trials).sum();
+        (trials as usize) < max_trials && !runs.any(is_unresolved)
     }
 
-    /// Tells whether every other start on a worker was answered a while ago.
+    /// Returns whether every start on a worker, other than those of the same gang as `step`, was
+    /// answered long enough ago not to be to blame for a crash now.
     pub(super) fn has_no_recent_start(
         &self,
         worker: WorkerKey,
