--- a/src/cell/evacuation.rs
+++ b/src/cell/evacuation.rs
@@ -1,7 +1,8 @@
-//! Halls that the operator has evacuated, as the core sees them.
+//! Halls that the operator has evacuated.
 //!
-//! Nothing starts there, and no room there is counted on.  What runs there goes on: it would lose its
-//! work, and the operator asks only that nothing more is sent.
+//! No task is started on workers of an evacuated hall, and their room is neither reserved nor
+//! forecast.  Runs that are already there continue: stopping them would lose their work, and the
+//! operator only asks that no new work is sent.
 
 use std::sync::Arc;
 
@@ -11,12 +12,12 @@
 use crate::evacuation::Halls;
 
 impl Cell {
-    /// Nothing is placed until it is known which halls are evacuated.
+    /// Blocks all placement until [`Cell::set_evacuated_halls`] tells which halls are evacuated.
     pub fn await_evacuated_halls(&mut self) {
         self.evacuated_halls = None;
     }
 
-    /// These halls are evacuated, and no others.
+    /// Replaces the set of evacuated halls, and logs each hall that was added or removed.
     pub fn set_evacuated_halls(&mut self, halls: &Arc<Halls>) {
         let known = self.evacuated_halls.as_ref();
         if known.is_some_and(|known| Arc::ptr_eq(known, halls) || known == halls) {
@@ -44,18 +45,19 @@
         tracing::info!(hall, workers = count, runs, millicores, "{what}");
     }
 
-    /// Tells whether tasks may be placed in the hall of a worker.
+    /// Returns whether tasks may be placed in the hall of a worker: the evacuated halls are known,
+    /// and it is not one of them.
     pub(super) fn is_hall_open(&self, key: WorkerKey) -> bool {
         self.evacuated_halls.is_some() && !self.is_evacuated(&self.workers[key])
     }
 
-    /// Tells whether the hall of a worker is known to be evacuated.
+    /// Returns whether the hall of a worker is known to be evacuated.
     pub(super) fn is_evacuated(&self, worker: &Worker) -> bool {
         let halls = self.evacuated_halls.as_ref();
         halls.is_some_and(|halls| !halls.is_empty() && halls.contains(&worker.entry.hall))
     }
 
-    /// Tells whether a step's tasks would fit on a worker whose hall is evacuated.
+    /// Returns whether a task of a step would fit on a worker whose hall is not open.
     pub(super) fn has_room_in_evacuated_hall(&self, key: StepKey) -> bool {
         let step = &self.steps[key];
         let service = &self.jobs[step.job].queue.service;
