--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -95,7 +95,7 @@
             return;
         };
         let pause = tuning::ADVICE_INTERVAL.min(2 * policy.duration(0));
-        let pause_over = step.advice.asked == 0 || step.advice.asked + pause <= now;
+        let pause_over = step.advice.last_answer == 0 || step.advice.last_answer + pause <= now;
         if step.advice.asking || !pause_over || step.advice.search_after > now {
             return;
         }
@@ -345,7 +345,7 @@
             return;
         };
         step.advice.asking = false;
-        step.advice.asked = now;
+        step.advice.last_answer = now;
         let Some(approved) = approved else {
             tracing::info!(
                 request = %order.name.job,
--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -200,8 +200,8 @@
 
     /// Sets whether the rows of some jobs could not be read, so that runs of unknown jobs may be
     /// ours.
-    pub fn set_incomplete(&mut self, incomplete: bool) {
-        self.has_unread_jobs = incomplete;
+    pub fn set_has_unread_jobs(&mut self, has_unread_jobs: bool) {
+        self.has_unread_jobs = has_unread_jobs;
     }
 
     /// Creates the steps of one occurrence.
@@ -257,17 +257,17 @@
 
     /// Returns the next occurrence of a scheduled job, if it is due.
     fn due_occurrence(&self, key: JobKey) -> Option<u32> {
-        let today = self.unix_time?;
+        let unix_time = self.unix_time?;
         let job = &self.jobs[key];
         let schedule = job.spec.schedule?;
         let next = job.occurrences.len() as u32;
         let at = schedule.first + u64::from(next) * schedule.interval;
-        (next < schedule.times && today >= at).then_some(next)
+        (next < schedule.times && unix_time >= at).then_some(next)
     }
 
     /// Sets the current time in Unix milliseconds, which scheduled jobs follow.
-    pub fn set_wall_clock(&mut self, today: Millis) {
-        self.unix_time = Some(today);
+    pub fn set_wall_clock(&mut self, unix_time: Millis) {
+        self.unix_time = Some(unix_time);
     }
 
     /// Makes the steps of an occurrence ready for which all earlier steps are done.
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -118,7 +118,7 @@
     /// A question has been sent and not answered yet.
     pub asking: bool,
     /// When the last question was answered or failed.
-    pub asked: Millis,
+    pub last_answer: Millis,
     /// The last search found no workers to ask about, and the next one is made from this time on.
     pub search_after: Millis,
 }
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -214,7 +214,7 @@
 
     /// Removes a job whose end was recorded long ago.  Returns false, and keeps the job, if one of
     /// its tasks may still run or its end is not recorded.
-    pub fn forget(&mut self, id: JobId) -> bool {
+    pub fn forget_job(&mut self, id: JobId) -> bool {
         self.ended.swap_remove(&id);
         let Some(&key) = self.job_ids.get(&id) else {
             return true;
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -268,7 +268,7 @@
 
     /// Forgets a job that ended long ago; false if something of it may still run.
     pub fn forget(&self, id: JobId) -> bool {
-        self.cell().forget(id)
+        self.cell().forget_job(id)
     }
 
     /// How a job stands, in detail; none if it is not known here.
--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -146,7 +146,7 @@
                     self.apply_job_rows(&rows);
                     cleaner.note(&rows);
                     self.cell()
-                        .set_incomplete(!(former_owner_stopped && unread.is_empty()));
+                        .set_has_unread_jobs(!(former_owner_stopped && unread.is_empty()));
                 }
                 Ok(_) => {
                     tracing::info!(
@@ -157,7 +157,7 @@
                     self.apply_job_rows(&jobs.rows);
                     cleaner.note(&jobs.rows);
                     unread = jobs.unread;
-                    self.cell().set_incomplete(true);
+                    self.cell().set_has_unread_jobs(true);
                     after = jobs.version;
                 }
                 Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -178,7 +178,7 @@
         cell.accept_peer_end(id, state);
     }
     // Even if all rows were read, the former owner may still be notified of new jobs for a while.
-    cell.set_incomplete(true);
+    cell.set_has_unread_jobs(true);
     tracing::info!(
         epoch,
         workers = cell.worker_keys().len(),
--- a/tests/cancelling.rs
+++ b/tests/cancelling.rs
@@ -36,7 +36,7 @@
 /// A successor that could not read some jobs, and knows of job 7 only this.
 fn successor_that_read(state: JobState) -> Bench {
     let mut bench = Bench::under(2, 1, &[queue("q", 0)]);
-    bench.cell.set_incomplete(true);
+    bench.cell.set_has_unread_jobs(true);
     let progress = JobProgress {
         state,
         tasks: Vec::new(),
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -670,20 +670,20 @@
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     let start = bench.start_all().remove(0);
     bench.cell.cancel(JobId(1));
-    let unrecorded = bench.cell.forget(JobId(1));
+    let unrecorded = bench.cell.forget_job(JobId(1));
     bench.record();
-    let running = bench.cell.forget(JobId(1));
+    let running = bench.cell.forget_job(JobId(1));
 
     // Act.
     bench.end(start.task, start.number, EndKind::Stopped);
     bench.look_at_all();
-    let over = bench.cell.forget(JobId(1));
+    let over = bench.cell.forget_job(JobId(1));
 
     // Assert.
     assert_eq!((unrecorded, running, over), (false, false, true));
     assert_eq!(bench.state(1), None);
     assert!(
-        bench.cell.forget(JobId(1)),
+        bench.cell.forget_job(JobId(1)),
         "there is nothing left to forget"
     );
 }
@@ -773,7 +773,7 @@
     // job lies in a partition that cannot be read at first.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
-    bench.cell.set_incomplete(true);
+    bench.cell.set_has_unread_jobs(true);
     let row = job(7, &q, vec![step(1, 1_000)]);
     let task = "0000000000000007.0.0.0".parse().expect("a task");
     let worker = bench.worker(0);
@@ -796,7 +796,7 @@
     bench.record();
     let forgotten = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
     bench.cell.accept(&row, None, true, bench.now);
-    bench.cell.set_incomplete(false);
+    bench.cell.set_has_unread_jobs(false);
     bench.now += 10;
     look.clock = bench.now;
     bench.hear(worker, &look);
@@ -812,7 +812,7 @@
     // Arrange: a worker runs a task of a job whose row could not be read at first.
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
-    bench.cell.set_incomplete(true);
+    bench.cell.set_has_unread_jobs(true);
     let worker = bench.worker(0);
     let task = "0000000000000007.0.0.0".parse().expect("a task");
     bench.running.insert(worker, vec![(task, 5)]);
@@ -821,7 +821,7 @@
     // Act: the row is read, and only then the worker is looked at again.
     let row = job(7, &q, vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
-    bench.cell.set_incomplete(false);
+    bench.cell.set_has_unread_jobs(false);
     let before = starts(&bench.decide());
     bench.look_at_all();
     let after = starts(&bench.decide());
--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -95,7 +95,7 @@
     /// The same, while the culprit's row cannot be read.
     fn take_over_without_the_culprit(&mut self) {
         self.take_over(&OTHERS.collect::<Vec<_>>());
-        self.cell.set_incomplete(true);
+        self.cell.set_has_unread_jobs(true);
     }
 
     /// The owner hears which lives are over, and records all that it can.
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -175,7 +175,7 @@
 fn owner_with_unread_jobs() -> Bench {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
-    bench.cell.set_incomplete(true);
+    bench.cell.set_has_unread_jobs(true);
     let now = bench.now;
     bench
         .cell
@@ -206,7 +206,7 @@
 
     // Act.
     let_the_first_lease_run_out(&mut bench);
-    bench.cell.set_incomplete(false);
+    bench.cell.set_has_unread_jobs(false);
     let started = starts(&bench.decide());
 
     // Assert.
@@ -224,7 +224,7 @@
     let_the_first_lease_run_out(&mut bench);
     let row = job(8, &queue("q", 0), vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
-    bench.cell.set_incomplete(false);
+    bench.cell.set_has_unread_jobs(false);
     let started = starts(&bench.decide());
 
     // Assert.
--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -416,7 +416,7 @@
                 cell.add_unread_job_progress(row.id, progress.clone());
             }
         }
-        cell.set_incomplete(!self.unread.is_empty());
+        cell.set_has_unread_jobs(!self.unread.is_empty());
         self.owner = Owner {
             cell,
             keys: BTreeMap::new(),
@@ -571,7 +571,7 @@
             let row = &self.rows[&number];
             self.owner.cell.accept(row, None, true, self.now);
         }
-        self.owner.cell.set_incomplete(false);
+        self.owner.cell.set_has_unread_jobs(false);
         self.reaches(Moment::Reading);
     }
 
--- a/tests/unread_jobs.rs
+++ b/tests/unread_jobs.rs
@@ -42,7 +42,7 @@
 fn owner_with_unread_jobs() -> Bench {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
-    bench.cell.set_incomplete(true);
+    bench.cell.set_has_unread_jobs(true);
     let row = job(7, &q, vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
     bench
