--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -85,7 +85,7 @@
     pub unrecorded_ends: Vec<UnrecordedEnd>,
     /// When this owner took the job over or accepted it, by our clock.
     pub accepted_at: Millis,
-    /// The length of the critical path of all steps, by the caller's estimates.
+    /// The length of the critical path of all steps by the caller's estimates, in milliseconds.
     pub critical_path: Millis,
     /// A former owner may have started tasks of the job.
     pub predates: bool,
@@ -117,7 +117,7 @@
     pub rejected: BTreeSet<WorkerKey>,
     /// A question has been sent and not answered yet.
     pub asking: bool,
-    /// When the last question was answered or failed.
+    /// When the last question was answered or failed, by our clock; 0 before that.
     pub last_answer: Millis,
     /// The last search found no workers to ask about, and the next one is made from this time on.
     pub search_after: Millis,
@@ -233,8 +233,9 @@
     pub start_heard: Option<Sequence>,
     /// The point at which it became known that the start was not answered.
     pub doubt_heard: Option<Sequence>,
-    /// The worker was heard just before the start was sent, so a crash counts against the task even
-    /// if the start was not answered.
+    /// A crash of the worker shows that it lived to begin the run, even if the start was not
+    /// answered, since the worker was heard just before the start was sent.  Cleared once the
+    /// worker has outlived the time in which it should have begun the run.
     pub crash_is_evidence: bool,
     /// When the start can no longer take effect, by the worker's clock.
     pub expires: Millis,
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -65,7 +65,7 @@
     pub failed: Vec<u64>,
     /// The latest checkpoint; empty for none.
     pub saved: String,
-    /// Runs on which a worker was lost, or may have been.
+    /// Runs that were on a worker when it was lost, or may have been lost.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub losses: Vec<Loss>,
 }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Applies that a batch is durable.
+    /// Notes that a batch is durable, and stops the runs of jobs whose end it records.
     pub fn batch_recorded(&mut self, batch: Batch, now: Millis) {
         for (key, _, progress) in batch.rows {
             let Some(job) = self.jobs.get_mut(key) else {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Applies that a batch could not be written; its jobs are recorded with the next one.
+    /// Notes that a batch could not be written; its jobs are recorded with the next one.
     pub fn batch_failed(&mut self, batch: Batch) {
         for (key, _, _) in batch.rows {
             if let Some(job) = self.jobs.get_mut(key) {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Applies that the store will never accept a batch.  Its jobs fail, since a failed job has a
+    /// Notes that the store will never accept a batch.  Its jobs fail, since a failed job has a
     /// short row, so that they do not block the recording of all others.
     pub fn batch_rejected(&mut self, batch: Batch) {
         for (key, id, progress) in batch.rows {
--- a/src/cell/tuning.rs
+++ b/src/cell/tuning.rs
@@ -15,7 +15,8 @@
 /// because run numbers grow with it.
 pub const LIVES_PER_EPOCH: u64 = 16;
 /// The minimum time between two lives of a worker: ending a process and starting it again takes
-/// some hundred milliseconds.  An owner's scheduling round and the recording of ends take about 40.
+/// some hundred milliseconds.  An owner's scheduling round and the recording of ends, which should
+/// fit into this time, take about 40 ms.
 pub const MIN_RESTART_TIME: Millis = 100;
 /// How long after it is sent a start may take effect.  A start that arrives later must be void, so
 /// this bounds how long the room for it is held.
@@ -104,7 +105,7 @@
 pub const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// How long nothing is placed on a shunned worker.
 pub const SHUN_TIME: Millis = 4_000;
-/// How long nothing is placed on a worker that reports itself as unhealthy.
+/// How long nothing is placed on a worker that reports itself as unhealthy or out of room.
 pub const UNHEALTHY_PAUSE: Millis = 500;
 /// How long a task waits after a worker did not recognise its start.  This limits such refusals to
 /// one per second.
