--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -318,7 +318,7 @@
     /// The share of workers named in questions of a queue that the advice service approves, learned
     /// from its answers.
     fn approval_rate(&self, queue: &str) -> f64 {
-        self.good_share
+        self.approved_share
             .get(queue)
             .copied()
             .unwrap_or(tuning::INITIAL_APPROVED_SHARE)
@@ -369,7 +369,7 @@
         );
         let share = approved.len() as f64 / order.workers.len().max(1) as f64;
         let approval_rate = self
-            .good_share
+            .approved_share
             .entry(job.queue.name.clone())
             .or_insert(tuning::INITIAL_APPROVED_SHARE);
         *approval_rate += tuning::APPROVED_SHARE_WEIGHT * (share - *approval_rate);
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -201,7 +201,7 @@
     /// How far callers' estimates of run times are off, by the queue's name.
     estimate_errors: BTreeMap<String, progress::EstimateError>,
     /// The share of workers that the advice service approves for a step, learned by queue.
-    good_share: BTreeMap<String, f64>,
+    approved_share: BTreeMap<String, f64>,
     /// The Unix time in milliseconds; none until it has been passed in.
     unix_time: Option<Millis>,
     /// The platform's list of workers has not arrived yet.  Until then no task is placed, since a
@@ -270,7 +270,7 @@
             open_steps: Vec::new(),
             lanes: Vec::new(),
             estimate_errors: BTreeMap::new(),
-            good_share: BTreeMap::new(),
+            approved_share: BTreeMap::new(),
             unix_time: None,
             awaits_worker_list: false,
             evacuated_halls: Some(Arc::default()),
