--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -157,7 +157,7 @@
     ) -> (Vec<WorkerKey>, bool) {
         let now = round.now;
         let job = &self.jobs[self.steps[key].job];
-        let approval_rate = self.approval_rate(&job.queue.name);
+        let approved_share = self.approved_share(&job.queue.name);
         let answer_by =
             now + policy.duration(tuning::MAX_ADVICE_WORKERS) + tuning::ADVICE_LOOKAHEAD;
         let mut candidates = self.advice_candidates(key, needed, round);
@@ -184,7 +184,7 @@
                 * if candidate.approved {
                     1.0
                 } else {
-                    approval_rate
+                    approved_share
                 };
             chosen.push(candidate.worker);
         }
@@ -317,7 +317,7 @@
 
     /// The share of workers named in questions of a queue that the advice service approves, learned
     /// from its answers.
-    fn approval_rate(&self, queue: &str) -> f64 {
+    fn approved_share(&self, queue: &str) -> f64 {
         self.approved_share
             .get(queue)
             .copied()
@@ -368,11 +368,11 @@
             "advice came"
         );
         let share = approved.len() as f64 / order.workers.len().max(1) as f64;
-        let approval_rate = self
+        let approved_share = self
             .approved_share
             .entry(job.queue.name.clone())
             .or_insert(tuning::INITIAL_APPROVED_SHARE);
-        *approval_rate += tuning::APPROVED_SHARE_WEIGHT * (share - *approval_rate);
+        *approved_share += tuning::APPROVED_SHARE_WEIGHT * (share - *approved_share);
         for (worker, id) in &order.workers {
             match approved.iter().find(|(approved_id, _)| approved_id == id) {
                 Some((_, text)) => {
