--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -73,7 +73,7 @@
             let job = &mut self.jobs[key];
             job.state = progress.state;
             job.recorded = progress.state;
-            job.record_starts_first = progress.careful;
+            job.record_starts_first = progress.record_starts_first;
         }
         if self.jobs[key].state.is_final() {
             return;
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -168,7 +168,7 @@
     /// earlier run after that of a later one.
     pub failed: Vec<u64>,
     /// The latest checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Runs that are going on, or may be.
     pub runs: Vec<RunKey>,
     /// The worker on which the task last failed or ran too slowly.
--- a/src/cell/order.rs
+++ b/src/cell/order.rs
@@ -41,7 +41,7 @@
     /// The ticket that permits the step to run there, if its queue needs one.
     pub ticket: Option<String>,
     /// The checkpoint to continue from; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// An order to stop a run.
@@ -183,18 +183,18 @@
     /// The run's number.
     pub number: u64,
     /// The latest checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// The share of the work that is done, in percent.
     pub percent: u32,
     /// For a serving task its tail latency in milliseconds, for all others the millicores in use.
-    pub figure: Option<u64>,
+    pub measurement: Option<u64>,
 }
 
 /// A run that has ended, as listed by the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndEntry {
     /// The number of the end, which rises by one with each end of this life of the worker.
-    pub place: u64,
+    pub end_number: u64,
     /// The task.
     pub task: TaskName,
     /// The run's number.
@@ -202,7 +202,7 @@
     /// How the run ended.
     pub how: EndKind,
     /// The latest checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// The answer of a worker to a poll.
--- a/src/cell/poll.rs
+++ b/src/cell/poll.rs
@@ -113,21 +113,21 @@
             if self.is_unread(end.task) {
                 self.workers[key].unread_jobs.insert(end.task.step.job);
                 held = held.or(Some(end));
-            } else if self.workers[key].accept_end(end.place) {
+            } else if self.workers[key].accept_end(end.end_number) {
                 self.process_end(key, end, now);
             }
         }
         let forgettable = match held {
-            Some(first) => Some(first.place.saturating_sub(1)),
-            None => ends.last().map(|last| last.place),
+            Some(first) => Some(first.end_number.saturating_sub(1)),
+            None => ends.last().map(|last| last.end_number),
         };
         let worker = &mut self.workers[key];
         worker.holds_ends |= held.is_some();
         worker.more_ends |= ends.len() >= tuning::MAX_ENDS_LISTED;
         worker.accept_ends_up_to(forgettable.unwrap_or_default());
         match held {
-            Some(first) if worker.held_end != first.place => {
-                worker.held_end = first.place;
+            Some(first) if worker.held_end != first.end_number => {
+                worker.held_end = first.end_number;
                 self.log_held_ends(key, first, ends.len());
             }
             _ => {}
@@ -184,8 +184,9 @@
             return;
         }
         let index = end.task.index;
-        if !end.saved.is_empty() && self.steps[step_key].tasks[index as usize].runs.is_empty() {
-            self.save_progress(step_key, index, &end.saved);
+        if !end.checkpoint.is_empty() && self.steps[step_key].tasks[index as usize].runs.is_empty()
+        {
+            self.save_progress(step_key, index, &end.checkpoint);
             self.jobs[job_key].dirty = true;
         }
         match end.how {
@@ -319,8 +320,10 @@
         run.confirm_started(self.workers[run.worker].last_answer, now);
         run.note_progress(entry.percent, clock, now);
         let (step, index) = (run.step, run.index);
-        if !entry.saved.is_empty() && self.steps[step].tasks[index as usize].saved != entry.saved {
-            self.save_progress(step, index, &entry.saved);
+        if !entry.checkpoint.is_empty()
+            && self.steps[step].tasks[index as usize].checkpoint != entry.checkpoint
+        {
+            self.save_progress(step, index, &entry.checkpoint);
         }
         self.mark_job_running(self.steps[step].job);
         self.reduce_blame(key, now);
@@ -402,12 +405,12 @@
 /// Tells whether a life that has not answered before has discarded ends that nobody has read: each
 /// life numbers its ends from one without gaps.
 fn has_discarded_ends(worker: &Worker, report: &PollReport) -> bool {
-    let is_next = |end: &EndEntry| end.place <= worker.accepted_end + 1;
+    let is_next = |end: &EndEntry| end.end_number <= worker.accepted_end + 1;
     let missing = worker.former.epoch_offset() > 0 && !report.ended.first().is_none_or(is_next);
     if missing {
         tracing::error!(
             worker = %worker.entry.life,
-            first = report.ended[0].place,
+            first = report.ended[0].end_number,
             "a worker has forgotten ends that nobody has read"
         );
     }
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -36,8 +36,12 @@
     /// The progress of tasks that are done, have failed, have a checkpoint or have lost workers.
     pub tasks: Vec<TaskProgress>,
     /// Starts of the job's tasks may have been lost with a former owner that had not recorded them.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub careful: bool,
+    #[serde(
+        rename = "careful",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
+    pub record_starts_first: bool,
     /// The name of the job's workspace, kept here because this row outlasts that of the job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<String>,
@@ -64,7 +68,8 @@
     /// The numbers of the runs that have failed.
     pub failed: Vec<u64>,
     /// The latest checkpoint; empty for none.
-    pub saved: String,
+    #[serde(rename = "saved")]
+    pub checkpoint: String,
     /// Runs that were on a worker when it was lost, or may have been lost.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub losses: Vec<Loss>,
@@ -123,15 +128,19 @@
                 let step = &self.steps[step_key];
                 for (index, task) in step.tasks.iter().enumerate() {
                     let lost = !task.losses.is_empty();
-                    if !task.done && task.failed.is_empty() && task.saved.is_empty() && !lost {
+                    if !task.done && task.failed.is_empty() && task.checkpoint.is_empty() && !lost {
                         continue;
                     }
-                    let saved = if task.done { "" } else { task.saved.as_str() };
+                    let checkpoint = if task.done {
+                        ""
+                    } else {
+                        task.checkpoint.as_str()
+                    };
                     tasks.push(TaskProgress {
                         place: (step.name.time, step.name.step, index as u32),
                         done: task.done,
                         failed: task.failed.clone(),
-                        saved: saved.to_owned(),
+                        checkpoint: checkpoint.to_owned(),
                         losses: task.losses.clone(),
                     });
                 }
@@ -140,7 +149,7 @@
         JobProgress {
             state: job.state,
             tasks,
-            careful: job.record_starts_first,
+            record_starts_first: job.record_starts_first,
             workspace: self
                 .workspace_of(key)
                 .map(|workspace| workspace.name.clone()),
@@ -264,7 +273,7 @@
             }
             task.done = record.done;
             task.failed.clone_from(&record.failed);
-            task.saved = record.saved.clone();
+            task.checkpoint = record.checkpoint.clone();
             self.restore_losses(step_key, index, &record.losses, now);
         }
         for time in times {
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -296,8 +296,8 @@
         self.forget_loss(LossKey::of(&run));
         let job_key = self.steps[run.step].job;
         let closed = self.jobs[job_key].state.is_final();
-        if !end.saved.is_empty() && !closed {
-            self.save_progress(run.step, run.index, &end.saved);
+        if !end.checkpoint.is_empty() && !closed {
+            self.save_progress(run.step, run.index, &end.checkpoint);
             self.jobs[job_key].dirty = true;
         }
         match end.how {
@@ -319,10 +319,10 @@
         let step = &mut self.steps[step];
         if step.step().gang {
             for task in &mut step.tasks {
-                task.saved = saved.to_owned();
+                task.checkpoint = saved.to_owned();
             }
         } else {
-            step.tasks[index as usize].saved = saved.to_owned();
+            step.tasks[index as usize].checkpoint = saved.to_owned();
         }
     }
 
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -452,7 +452,7 @@
             doubt_heard: None,
             crash_is_evidence: false,
             expires: 0,
-            restored: !self.steps[key].tasks[index as usize].saved.is_empty(),
+            restored: !self.steps[key].tasks[index as usize].checkpoint.is_empty(),
             progress: Default::default(),
             stop: None,
             trial: placement.trial,
@@ -488,12 +488,12 @@
         let crash_is_evidence = self.workers[worker_key].was_heard_recently(is_trial, now);
         let step = &self.steps[step_key];
         let ticket = step.advice.tickets.get(&worker_key);
-        let saved = step.tasks[index as usize].saved.clone();
+        let checkpoint = step.tasks[index as usize].checkpoint.clone();
         let run = &mut self.runs[key];
         run.phase = Phase::Sent;
         run.expires = due;
         run.crash_is_evidence = crash_is_evidence;
-        run.restored = !saved.is_empty();
+        run.restored = !checkpoint.is_empty();
         let order = StartOrder {
             to,
             run: key,
@@ -502,7 +502,7 @@
             text: Arc::clone(&self.jobs[step.job].text),
             due,
             ticket: ticket.map(|ticket| ticket.text.clone()),
-            saved,
+            checkpoint,
         };
         self.counts.starts += 1;
         self.orders.push(Order::Start(order));
--- a/src/embedded/worker.rs
+++ b/src/embedded/worker.rs
@@ -113,11 +113,11 @@
     fn list_end(&mut self, run: &Going, at: Millis, how: EndKind) {
         self.places += 1;
         self.ended.push(EndEntry {
-            place: self.places,
+            end_number: self.places,
             task: run.task,
             number: run.number,
             how,
-            saved: String::new(),
+            checkpoint: String::new(),
         });
         self.bar(run.task, run.number);
         self.history[run.record].ended = Some((at, how));
@@ -240,13 +240,13 @@
         }
         self.epoch = order.to.epoch;
         self.extend(order.due.unwrap_or_default(), now);
-        self.ended.retain(|end| end.place > order.forget);
+        self.ended.retain(|end| end.end_number > order.forget);
         let running = self.going.iter().map(|run| RunningEntry {
             task: run.task,
             number: run.number,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: percent(run, now),
-            figure: None,
+            measurement: None,
         });
         Ok(PollReport {
             born: self.born,
--- a/tests/cancelling.rs
+++ b/tests/cancelling.rs
@@ -40,7 +40,7 @@
     let progress = JobProgress {
         state,
         tasks: Vec::new(),
-        careful: false,
+        record_starts_first: false,
         workspace: None,
     };
     bench.cell.add_unread_job_progress(JobId(7), progress);
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -240,9 +240,9 @@
         running: vec![crossweir::cell::order::RunningEntry {
             task: zero.task,
             number: zero.number,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 1,
-            figure: None,
+            measurement: None,
         }],
         ended: Vec::new(),
     };
@@ -731,9 +731,9 @@
         running: vec![RunningEntry {
             task: start.task,
             number: start.number,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 10,
-            figure: None,
+            measurement: None,
         }],
         ended: Vec::new(),
     };
@@ -778,11 +778,11 @@
     let task = "0000000000000007.0.0.0".parse().expect("a task");
     let worker = bench.worker(0);
     let end = EndEntry {
-        place: 1,
+        end_number: 1,
         task,
         number: 5,
         how: EndKind::Done,
-        saved: String::new(),
+        checkpoint: String::new(),
     };
     let mut look = PollReport {
         born: None,
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -146,20 +146,20 @@
     RunningEntry {
         task: task.parse().expect("a task"),
         number,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: 10,
-        figure: None,
+        measurement: None,
     }
 }
 
 /// An end that a worker lists.
 pub fn listed_end(place: u64, task: &str, number: u64, how: EndKind) -> EndEntry {
     EndEntry {
-        place,
+        end_number: place,
         task: task.parse().expect("a task"),
         number,
         how,
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
@@ -263,11 +263,11 @@
                 runs.remove(place);
                 let ends = self.ends.get_mut(key).expect("a known worker");
                 ends.push(EndEntry {
-                    place: ends.len() as u64 + 1,
+                    end_number: ends.len() as u64 + 1,
                     task,
                     number,
                     how,
-                    saved: String::new(),
+                    checkpoint: String::new(),
                 });
             }
         }
@@ -282,9 +282,9 @@
             .map(|&(task, number)| RunningEntry {
                 task,
                 number,
-                saved: String::new(),
+                checkpoint: String::new(),
                 percent,
-                figure: None,
+                measurement: None,
             });
         let look = PollReport {
             born: None,
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -214,11 +214,11 @@
 /// Ends of runs that are nobody's, at the places from 1 on.
 fn strange_ends(count: u64) -> Vec<EndEntry> {
     let end = |place| EndEntry {
-        place,
+        end_number: place,
         task: "00000000000000ff.0.0.0".parse().expect("a task"),
         number: place,
         how: EndKind::Stopped,
-        saved: String::new(),
+        checkpoint: String::new(),
     };
     (1..=count).map(end).collect()
 }
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -32,9 +32,9 @@
     let entry = RunningEntry {
         task: "0000000000000007.0.0.0".parse().expect("a task"),
         number: 5,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: 10,
-        figure: None,
+        measurement: None,
     };
     let look = PollReport {
         born: None,
--- a/tests/former_owner.rs
+++ b/tests/former_owner.rs
@@ -82,7 +82,7 @@
         text: Arc::from(row.spec.text.as_str()),
         due: clock + tuning::LEASE,
         ticket: None,
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
--- a/tests/late_lists.rs
+++ b/tests/late_lists.rs
@@ -45,31 +45,31 @@
     RunningEntry {
         task: start.task,
         number: start.number,
-        saved: String::new(),
+        checkpoint: String::new(),
         percent: 1,
-        figure: None,
+        measurement: None,
     }
 }
 
 /// Says that the run was stopped.
 fn stopped(start: &StartOrder) -> EndEntry {
     EndEntry {
-        place: 1,
+        end_number: 1,
         task: start.task,
         number: start.number,
         how: EndKind::Stopped,
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
 /// An end of a job that nobody knows.
 fn end_of_another_job(place: u64) -> EndEntry {
     EndEntry {
-        place,
+        end_number: place,
         task: "0000000000000009.0.0.0".parse().expect("a task"),
         number: place,
         how: EndKind::Done,
-        saved: String::new(),
+        checkpoint: String::new(),
     }
 }
 
@@ -289,7 +289,7 @@
     bench.now += 10;
     let others: Vec<EndEntry> = (1..=500).map(end_of_another_job).collect();
     let done = EndEntry {
-        place: 501,
+        end_number: 501,
         how: EndKind::Done,
         ..stopped(&start)
     };
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -23,7 +23,7 @@
 
 fn end(place: u64, task: &str, number: u64, how: EndKind, saved: &str) -> EndEntry {
     EndEntry {
-        saved: saved.to_owned(),
+        checkpoint: saved.to_owned(),
         ..listed_end(place, task, number, how)
     }
 }
@@ -267,7 +267,7 @@
 
     // Assert.
     let tasks = batch.rows.iter().flat_map(|(_, _, row)| &row.tasks);
-    let saved: Vec<&str> = tasks.map(|task| task.saved.as_str()).collect();
+    let saved: Vec<&str> = tasks.map(|task| task.checkpoint.as_str()).collect();
     assert_eq!((forget, saved), (Some(1), vec!["saved"]));
 }
 
--- a/tests/random_world/checks.rs
+++ b/tests/random_world/checks.rs
@@ -65,7 +65,7 @@
     /// What the worker forgets by this look counts as known to the owner for good.
     pub(super) fn note_forgotten(&mut self, order: &PollOrder) {
         let listed = self.listed.get(&order.to.life.id).into_iter().flatten();
-        for end in listed.filter(|end| end.place <= order.forget && end.how == EndKind::Done) {
+        for end in listed.filter(|end| end.end_number <= order.forget && end.how == EndKind::Done) {
             self.noted.entry(end.task).or_insert(self.now);
             if !self.has_lapsed_since(&order.to.life.id, end) {
                 self.noted_runs.insert((end.task, end.number));
@@ -84,7 +84,7 @@
         worker.settle(self.now);
         let ends = worker.memory.ends().iter();
         let ends: Vec<EndEntry> = ends
-            .filter(|end| end.place <= order.forget)
+            .filter(|end| end.end_number <= order.forget)
             .cloned()
             .collect();
         for end in ends {
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -121,7 +121,7 @@
     let progress = JobProgress {
         state: JobState::Succeeded,
         tasks: Vec::new(),
-        careful: false,
+        record_starts_first: false,
         workspace: None,
     };
     let mut tx = Transaction::default();
