--- a/src/bin/crossweird/node.rs
+++ b/src/bin/crossweird/node.rs
@@ -82,7 +82,7 @@
     if let Some((listener, _)) = own {
         keep_serving(server::serve(listener, Api::new(Arc::clone(&front), token)));
     }
-    process::run_to_end(&front, || reload(&settings, &path)).await?;
+    process::run_until_terminated(&front, || reload(&settings, &path)).await?;
     Ok(())
 }
 
--- a/src/embedded/worker.rs
+++ b/src/embedded/worker.rs
@@ -336,7 +336,7 @@
         .boxed()
     }
 
-    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+    fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         self.look_until_end(order).boxed()
     }
 }
--- a/src/node/cleaning.rs
+++ b/src/node/cleaning.rs
@@ -14,12 +14,12 @@
 use crate::store::{Row, RowKey, StoreCall, StoreError, Table, Transaction};
 
 /// How often rows are dropped: each round costs a call for each partition in use.
-const CLEAN_EVERY: Millis = 3_000;
+const CLEAN_INTERVAL: Millis = 3_000;
 /// The most rows in one transaction; the store takes 100 entries.
-const MOST_ROWS: usize = 100;
+const MAX_ROWS: usize = 100;
 /// How long the end of a job is kept after its row was dropped.  Callers may ask for 120 s;
 /// a doubtful write of the row, which may come some seconds late, must find the end.
-pub const KEEP_ENDS: Millis = 300_000;
+pub const END_RETENTION: Millis = 300_000;
 
 /// Knows which rows are still to be dropped.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
 
 impl Cleaner {
     /// Notes where rows lie.
-    pub fn note(&mut self, rows: &[Row]) {
+    pub fn add_rows(&mut self, rows: &[Row]) {
         for row in rows.iter().filter(|row| !row.dropped) {
             if let Ok(id) = row.key.parse() {
                 self.rows.entry(row.partition.clone()).or_default().push(id);
@@ -42,14 +42,14 @@
     }
 
     /// Notes jobs that ended under a former owner and have no row any more.
-    pub fn note_ended(&mut self, ids: impl IntoIterator<Item = JobId>, now: Millis) {
+    pub fn add_ended(&mut self, ids: impl IntoIterator<Item = JobId>, now: Millis) {
         self.ended.extend(ids.into_iter().map(|id| (now, id)));
     }
 
     /// Drops what is over, if it is time.
     pub async fn clean(&mut self, engine: &Engine) {
         let now = engine.shared.now();
-        if self.cleaned + CLEAN_EVERY > now {
+        if self.cleaned + CLEAN_INTERVAL > now {
             return;
         }
         self.cleaned = now;
@@ -63,7 +63,7 @@
                 .iter()
                 .copied()
                 .filter(|&id| engine.is_end_recorded(id))
-                .take(MOST_ROWS)
+                .take(MAX_ROWS)
                 .collect();
             match drop_rows(engine, Table::Jobs, partition, &over).await {
                 Ok(()) => {
@@ -79,8 +79,8 @@
         let old = self
             .ended
             .iter()
-            .take_while(|(since, _)| since + KEEP_ENDS <= now);
-        let over: Vec<JobId> = old.map(|(_, id)| *id).take(MOST_ROWS).collect();
+            .take_while(|(since, _)| since + END_RETENTION <= now);
+        let over: Vec<JobId> = old.map(|(_, id)| *id).take(MAX_ROWS).collect();
         match drop_rows(engine, Table::Progress, PARTITION, &over).await {
             Ok(()) => {
                 self.ended.drain(..over.len());
--- a/src/node/confirming.rs
+++ b/src/node/confirming.rs
@@ -11,7 +11,7 @@
 use futures::future::join_all;
 
 use crate::clock::Millis;
-use crate::node::engine::{Engine, WITNESS_WINDOW};
+use crate::node::engine::{Engine, PEER_ALIVE_WINDOW};
 use crate::node::heartbeat;
 use crate::node::members::Member;
 use crate::node::recording::{OWNER_KEY, OwnerRow};
@@ -57,7 +57,7 @@
         loop {
             tokio::time::sleep(CONFIRM_POLL).await;
             let sent = self.shared.now();
-            if sent.saturating_sub(self.confirmed.load(Ordering::Relaxed)) < CONFIRM_AFTER {
+            if sent.saturating_sub(self.confirmed_at.load(Ordering::Relaxed)) < CONFIRM_AFTER {
                 continue;
             }
             let responses = self.collect_responses(sent).await;
@@ -90,7 +90,7 @@
         match self.verdict(responses) {
             Verdict::Holds if has_row(responses) => self.confirm(sent),
             // Some of the responses were taken from heartbeats, which may be as old as this.
-            Verdict::Holds => self.confirm_for_now(sent.saturating_sub(RECENT_ANSWER)),
+            Verdict::Holds => self.confirm_by_peers(sent.saturating_sub(RECENT_ANSWER)),
             Verdict::Lost => self.retire("the ownership row names another owner"),
             Verdict::Unknown => tracing::info!(
                 ?responses,
@@ -119,7 +119,7 @@
             return Verdict::Lost;
         }
         let now_known = self.node_count();
-        let known = now_known.max(self.known.fetch_max(now_known, Ordering::Relaxed));
+        let known = now_known.max(self.max_node_count.fetch_max(now_known, Ordering::Relaxed));
         let away = responses
             .iter()
             .filter(|response| **response == Response::Away)
@@ -161,7 +161,7 @@
         let (away, asked): (Vec<&Member>, Vec<&Member>) = members
             .iter()
             .map(|(_, member)| member)
-            .filter(|m| m.was_heard(WITNESS_WINDOW, sent))
+            .filter(|m| m.was_heard(PEER_ALIVE_WINDOW, sent))
             .filter(|m| m.epoch <= self.epoch)
             .partition(|m| {
                 m.no_store_asked > 0 && sent.saturating_sub(m.no_store_asked) < RECENT_ANSWER
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -233,7 +233,7 @@
 /// or the store is slow, as the release could not be written quickly then.
 fn should_yield(shared: &Shared, engine: &Engine, now: Millis) -> bool {
     let may_be_released = shared.reaches_store() && !shared.store_is_slow();
-    if now.saturating_sub(engine.since) < MIN_TERM || !may_be_released {
+    if now.saturating_sub(engine.held_since) < MIN_TERM || !may_be_released {
         return false;
     }
     let enough = STRENGTH_RATIO * shared.load.strength().max(1);
@@ -580,7 +580,7 @@
             epoch = engine.epoch,
             reason,
             released = released.is_ok(),
-            late_ms = shared.load.late(),
+            late_ms = shared.load.average_delay(),
             "cell is given up"
         );
         engine.retire(reason);
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -20,20 +20,21 @@
 use crate::clock::{self, Millis};
 use crate::node::heartbeat;
 use crate::node::loading;
-use crate::node::pace::{self, Rounds};
+use crate::node::pace::{self, RoundStats};
 use crate::node::recording::MAX_JOBS;
 use crate::node::roster_rows::RosterRows;
 use crate::node::shared::Shared;
-use crate::node::survey::Survey;
+use crate::node::summary::Summary;
 use crate::rpc::node::{NodeReply, Question};
 use crate::store::Version;
 
 /// Scheduling runs at least so often, for leases and retries.
 const TICK: Duration = Duration::from_millis(50);
 /// How often it is logged what waits.
-const SURVEY: Millis = 1_000;
+const SUMMARY_INTERVAL: Millis = 1_000;
 /// A peer heard within this time bears witness: two heartbeats, of which one may be late.
-pub(super) const WITNESS_WINDOW: Millis = 2 * heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
+pub(super) const PEER_ALIVE_WINDOW: Millis =
+    2 * heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
 /// How long a question about a job waits for its end: three times what passes until an end
 /// is known and recorded.
 const END_WAIT: Duration = Duration::from_millis(120);
@@ -45,35 +46,35 @@
     /// The epoch of this ownership.
     pub epoch: u64,
     /// Since when it is held, by our clock.
-    pub since: Millis,
+    pub held_since: Millis,
     /// The transaction that claimed it.
-    pub(super) claimed: Version,
+    pub(super) claim_version: Version,
     pub(super) shared: Arc<Shared>,
     cell: Mutex<Cell>,
     pub(super) wake: Notify,
     pub(super) record: Notify,
     pub(super) recorded: Notify,
     /// The version of the row of ownership as we last wrote it, and the batch in it.
-    pub(super) row: tokio::sync::Mutex<(Version, u64)>,
+    pub(super) ownership_row: tokio::sync::Mutex<(Version, u64)>,
     roster_rows: Mutex<RosterRows>,
     /// The most jobs in a transaction; fewer after one that the store has rejected.
-    pub(super) most_jobs: AtomicUsize,
+    pub(super) max_jobs: AtomicUsize,
     /// The version of the roster that is recorded.
-    pub(super) roster_recorded: AtomicU64,
+    pub(super) recorded_roster_version: AtomicU64,
     retired: AtomicBool,
     /// The cell is being given up, and nothing is recorded after that.
     pub(super) releasing: AtomicBool,
     /// A transaction has to be repeated, so ends wait to be recorded.
     pub(super) stalled: AtomicBool,
-    pub(super) confirmed: AtomicU64,
+    pub(super) confirmed_at: AtomicU64,
     /// The most nodes that were known since the store last confirmed the ownership: one that
     /// has been forgotten since, being silent, may have claimed the cell.
-    pub(super) known: AtomicUsize,
+    pub(super) max_node_count: AtomicUsize,
     /// All entries of workers that were written before then are taken in.
-    pub(super) workers_read: AtomicU64,
-    looked_after: Mutex<HashSet<WorkerKey>>,
+    pub(super) workers_read_at: AtomicU64,
+    polled_workers: Mutex<HashSet<WorkerKey>>,
     /// Wakes those that look after workers which are parked.
-    parked: Mutex<HashMap<WorkerKey, Arc<Notify>>>,
+    unpark_notifiers: Mutex<HashMap<WorkerKey, Arc<Notify>>>,
     lanes: Mutex<Vec<String>>,
     tasks: Mutex<JoinSet<()>>,
 }
@@ -92,25 +93,25 @@
         let loaded = loading::load(shared, epoch).await?;
         let engine = Arc::new(Self {
             epoch,
-            since: shared.now(),
-            claimed: version,
+            held_since: shared.now(),
+            claim_version: version,
             shared: Arc::clone(shared),
             cell: Mutex::new(loaded.cell),
             wake: Notify::new(),
             record: Notify::new(),
             recorded: Notify::new(),
-            row: tokio::sync::Mutex::new((version, 0)),
+            ownership_row: tokio::sync::Mutex::new((version, 0)),
             roster_rows: Mutex::new(loaded.roster),
-            most_jobs: AtomicUsize::new(MAX_JOBS),
-            roster_recorded: AtomicU64::new(0),
+            max_jobs: AtomicUsize::new(MAX_JOBS),
+            recorded_roster_version: AtomicU64::new(0),
             retired: AtomicBool::new(false),
             releasing: AtomicBool::new(false),
             stalled: AtomicBool::new(false),
-            confirmed: AtomicU64::new(shared.now()),
-            known: AtomicUsize::new(1),
-            workers_read: AtomicU64::new(shared.now()),
-            looked_after: Mutex::default(),
-            parked: Mutex::default(),
+            confirmed_at: AtomicU64::new(shared.now()),
+            max_node_count: AtomicUsize::new(1),
+            workers_read_at: AtomicU64::new(shared.now()),
+            polled_workers: Mutex::default(),
+            unpark_notifiers: Mutex::default(),
             lanes: Mutex::new(vec![shared.name.clone()]),
             tasks: Mutex::default(),
         });
@@ -120,7 +121,7 @@
         engine.spawn(Arc::clone(&engine).workers_loop());
         engine.spawn(Arc::clone(&engine).jobs_loop(loaded.jobs));
         engine.spawn(Arc::clone(&engine).policy_loop());
-        engine.look_after_workers();
+        engine.poll_new_workers();
         Ok(engine)
     }
 
@@ -161,19 +162,20 @@
 
     /// Tells whether orders may be given: the ownership was confirmed of late.
     pub fn is_active(&self) -> bool {
-        let confirmed = self.confirmed.load(Ordering::Relaxed);
+        let confirmed = self.confirmed_at.load(Ordering::Relaxed);
         !self.is_retired() && self.shared.now().saturating_sub(confirmed) < tuning::OWNER_STOP_TIME
     }
 
     /// The row of ownership was seen to be ours by a call that was sent at `sent`.
     pub(super) fn confirm(&self, sent: Millis) {
-        self.known.store(self.node_count(), Ordering::Relaxed);
-        self.confirmed.fetch_max(sent, Ordering::Relaxed);
+        self.max_node_count
+            .store(self.node_count(), Ordering::Relaxed);
+        self.confirmed_at.fetch_max(sent, Ordering::Relaxed);
     }
 
     /// Most nodes said after `sent` that they do not reach the store.
-    pub(super) fn confirm_for_now(&self, sent: Millis) {
-        self.confirmed.fetch_max(sent, Ordering::Relaxed);
+    pub(super) fn confirm_by_peers(&self, sent: Millis) {
+        self.confirmed_at.fetch_max(sent, Ordering::Relaxed);
     }
 
     /// A newer configuration is in force.
@@ -190,7 +192,7 @@
     }
 
     /// Passes the core's counts on to the metrics.
-    pub fn count(&self, metrics: &crate::metrics::Metrics) {
+    pub fn export_counts(&self, metrics: &crate::metrics::Metrics) {
         let (counts, (used, capacity), ledger_errors, parked) = {
             let cell = self.cell();
             let parked = cell.count_workers().parked;
@@ -258,7 +260,7 @@
     }
 
     /// Another node tells of ends that a former owner could not record.
-    pub fn believe_ends(&self, ends: &[(JobId, JobState)]) {
+    pub fn accept_peer_ends(&self, ends: &[(JobId, JobState)]) {
         for &(id, state) in ends {
             tracing::info!(request = %id, ?state, "end was decided by a former owner");
             self.cell().accept_peer_end(id, state);
@@ -350,8 +352,8 @@
 
     async fn schedule_loop(self: Arc<Self>) {
         let mut took = Duration::ZERO;
-        let mut surveyed = 0;
-        let mut rounds = Rounds::default();
+        let mut summarized_at = 0;
+        let mut rounds = RoundStats::default();
         loop {
             // Either something happened, or it is time to look at leases.
             let _ = tokio::time::timeout(TICK, self.wake.notified()).await;
@@ -360,9 +362,9 @@
                 continue;
             }
             let now = self.shared.now();
-            let is_survey = now.saturating_sub(surveyed) >= SURVEY;
+            let is_summary_due = now.saturating_sub(summarized_at) >= SUMMARY_INTERVAL;
             let halls = self.shared.hall_rows().evacuated();
-            let (orders, waits, survey) = {
+            let (orders, waits, summary) = {
                 let mut cell = self.cell();
                 if let Some(halls) = &halls {
                     cell.set_evacuated_halls(halls);
@@ -370,18 +372,19 @@
                 cell.set_wall_clock(clock::since_1970());
                 cell.tick(now);
                 cell.schedule(now);
-                self.wake_unparked(&cell.take_unparked());
-                if cell.roster_version() != self.roster_recorded.load(Ordering::Relaxed) {
+                self.notify_unparked(&cell.take_unparked());
+                if cell.roster_version() != self.recorded_roster_version.load(Ordering::Relaxed) {
                     self.record.notify_one();
                 }
-                let late = self.shared.load.late();
-                let survey = is_survey.then(|| Survey::of(&cell, self.workers_age(), rounds, late));
-                (cell.take_orders(), cell.take_waits(), survey)
+                let late = self.shared.load.average_delay();
+                let summary =
+                    is_summary_due.then(|| Summary::new(&cell, self.workers_age(), rounds, late));
+                (cell.take_orders(), cell.take_waits(), summary)
             };
-            if let Some(survey) = survey {
-                surveyed = now;
-                rounds = Rounds::default();
-                survey.log();
+            if let Some(summary) = summary {
+                summarized_at = now;
+                rounds = RoundStats::default();
+                summary.log();
             }
             let round = self.shared.now().saturating_sub(now);
             rounds.note(round, orders.len());
@@ -392,49 +395,51 @@
                     .wait(wait_class(wait.until, wait.priority), wait.time);
             }
             for order in orders {
-                self.spawn(Arc::clone(&self).carry_out(order));
+                self.spawn(Arc::clone(&self).execute(order));
             }
         }
     }
 
     /// Waits until a worker is not parked any more.
-    pub(super) async fn stay_parked(&self, key: WorkerKey) {
+    pub(super) async fn wait_until_unparked(&self, key: WorkerKey) {
         let woken = Arc::new(Notify::new());
-        self.parked().insert(key, Arc::clone(&woken));
+        self.unpark_notifiers().insert(key, Arc::clone(&woken));
         // It may have been woken before anybody could tell us.
         if self.cell().is_parked(key) {
             woken.notified().await;
         }
-        self.parked().remove(&key);
+        self.unpark_notifiers().remove(&key);
     }
 
-    fn wake_unparked(&self, keys: &[WorkerKey]) {
-        let parked = self.parked();
-        for woken in keys.iter().filter_map(|key| parked.get(key)) {
+    fn notify_unparked(&self, keys: &[WorkerKey]) {
+        let notifiers = self.unpark_notifiers();
+        for woken in keys.iter().filter_map(|key| notifiers.get(key)) {
             woken.notify_one();
         }
     }
 
-    fn parked(&self) -> MutexGuard<'_, HashMap<WorkerKey, Arc<Notify>>> {
-        self.parked.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unpark_notifiers(&self) -> MutexGuard<'_, HashMap<WorkerKey, Arc<Notify>>> {
+        self.unpark_notifiers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// How old what is known of the workers' entries is.
     fn workers_age(&self) -> Millis {
-        let read = self.workers_read.load(Ordering::Relaxed);
+        let read = self.workers_read_at.load(Ordering::Relaxed);
         self.shared.now().saturating_sub(read)
     }
 
     /// Begins to look after workers that are new.
-    pub(super) fn look_after_workers(self: &Arc<Self>) {
+    pub(super) fn poll_new_workers(self: &Arc<Self>) {
         let keys = self.cell().worker_keys();
-        let mut looked_after = self
-            .looked_after
+        let mut polled_workers = self
+            .polled_workers
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         for key in keys {
-            if looked_after.insert(key) {
-                self.spawn(Arc::clone(self).look_loop(key));
+            if polled_workers.insert(key) {
+                self.spawn(Arc::clone(self).poll_loop(key));
             }
         }
     }
@@ -452,7 +457,7 @@
                 return self.shared.advisor.is_some();
             }
             let member = members.get(name);
-            member.is_some_and(|member| member.was_heard(WITNESS_WINDOW, now) && !member.leaving)
+            member.is_some_and(|member| member.was_heard(PEER_ALIVE_WINDOW, now) && !member.leaving)
         };
         let flags: Vec<bool> = lanes.iter().map(is_up).collect();
         drop(members);
--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -49,9 +49,9 @@
                 Ok(StoreReply::Rows { rows, version, .. }) => {
                     after = version.max(after);
                     self.apply_worker_changes(&rows);
-                    self.look_after_workers();
+                    self.poll_new_workers();
                     if rows.len() < FULL_ANSWER_ROWS {
-                        self.workers_read.store(asked, Ordering::Relaxed);
+                        self.workers_read_at.store(asked, Ordering::Relaxed);
                         return after;
                     }
                 }
@@ -77,9 +77,9 @@
             let asked = self.shared.now();
             match loading::list(&self.shared, Table::Workers, "").await {
                 Ok((rows, version)) => {
-                    self.workers_read.store(asked, Ordering::Relaxed);
+                    self.workers_read_at.store(asked, Ordering::Relaxed);
                     self.apply_worker_list(&rows);
-                    self.look_after_workers();
+                    self.poll_new_workers();
                     self.wake.notify_one();
                     return version;
                 }
@@ -124,14 +124,14 @@
         let mut after = loaded.version;
         let mut unread = loaded.unread;
         let mut cleaner = Cleaner::default();
-        cleaner.note(&loaded.rows);
-        cleaner.note_ended(self.cell().ended_under_former_owner(), self.shared.now());
+        cleaner.add_rows(&loaded.rows);
+        cleaner.add_ended(self.cell().ended_under_former_owner(), self.shared.now());
         loop {
             tokio::time::sleep(JOBS_POLL).await;
             if !unread.is_empty() {
                 let missing = loading::list_job_partitions(&self.shared, &unread).await;
                 self.apply_job_rows(&missing.rows);
-                cleaner.note(&missing.rows);
+                cleaner.add_rows(&missing.rows);
                 unread = missing.unread;
             }
             let former_owner_stopped = self.has_former_owner_stopped();
@@ -144,7 +144,7 @@
                 Ok(StoreReply::Rows { rows, version, .. }) => {
                     after = version.max(after);
                     self.apply_job_rows(&rows);
-                    cleaner.note(&rows);
+                    cleaner.add_rows(&rows);
                     self.cell()
                         .set_has_unread_jobs(!(former_owner_stopped && unread.is_empty()));
                 }
@@ -155,7 +155,7 @@
                     );
                     let jobs = loading::list_jobs(&self.shared).await;
                     self.apply_job_rows(&jobs.rows);
-                    cleaner.note(&jobs.rows);
+                    cleaner.add_rows(&jobs.rows);
                     unread = jobs.unread;
                     self.cell().set_has_unread_jobs(true);
                     after = jobs.version;
@@ -170,7 +170,7 @@
     /// be notified of new jobs and start their tasks, and a worker may report such a run before
     /// this owner has read the job's row.
     fn has_former_owner_stopped(&self) -> bool {
-        self.shared.now() > self.since + tuning::OWNER_STOP_TIME
+        self.shared.now() > self.held_since + tuning::OWNER_STOP_TIME
     }
 
     fn apply_job_rows(&self, rows: &[Row]) {
@@ -183,7 +183,7 @@
                 continue;
             };
             let now = self.shared.now();
-            let predates = row.version < self.claimed;
+            let predates = row.version < self.claim_version;
             self.cell().accept(&job, None, predates, now);
         }
         self.wake.notify_one();
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -18,7 +18,7 @@
     fn stop<'a>(&'a self, order: &'a StopOrder) -> BoxFuture<'a, Result<(), Option<Refusal>>>;
 
     /// Looks at a worker and renews its lease.
-    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>>;
+    fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>>;
 }
 
 /// Workers that may run a step, each with the ticket that a start must bring.
--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -13,13 +13,13 @@
 use crate::node::shared::Shared;
 
 /// How often the node looks how late it is.
-const LOOK: Duration = Duration::from_millis(50);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 /// The weight of the newest look, in percent: a look that is late by a second, as after a
 /// frozen process wakes, is forgotten after some ten looks.
-const WEIGHT: Millis = 20;
+const SAMPLE_WEIGHT: Millis = 20;
 /// A node whose turns come so late on the average is behind: urgent jobs have 0.9 s to
 /// spare, and an order goes through a handful of turns.
-const BEHIND: Millis = 80;
+const MAX_DELAY: Millis = 80;
 
 /// How much a node can do.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     /// Thousandths of a core that the VM gives.
     millicores: u32,
     /// How late turns come, on the average.
-    late: AtomicU64,
+    delay: AtomicU64,
 }
 
 impl Load {
@@ -35,20 +35,20 @@
     pub fn new(millicores: u32) -> Self {
         Self {
             millicores,
-            late: AtomicU64::new(0),
+            delay: AtomicU64::new(0),
         }
     }
 
     /// A turn came late by so much.
-    pub fn note(&self, late: Millis) {
-        let before = self.late.load(Ordering::Relaxed);
-        let after = (before * (100 - WEIGHT) + late * WEIGHT) / 100;
-        self.late.store(after, Ordering::Relaxed);
+    pub fn record_delay(&self, late: Millis) {
+        let before = self.delay.load(Ordering::Relaxed);
+        let after = (before * (100 - SAMPLE_WEIGHT) + late * SAMPLE_WEIGHT) / 100;
+        self.delay.store(after, Ordering::Relaxed);
     }
 
     /// How late turns come, on the average.
-    pub fn late(&self) -> Millis {
-        self.late.load(Ordering::Relaxed)
+    pub fn average_delay(&self) -> Millis {
+        self.delay.load(Ordering::Relaxed)
     }
 
     /// Thousandths of a core that the VM gives, whether the node is behind or not.
@@ -59,7 +59,7 @@
     /// Thousandths of a core that the node can spend on owning the cell; zero while it is
     /// behind.
     pub fn strength(&self) -> u32 {
-        if self.late() > BEHIND {
+        if self.average_delay() > MAX_DELAY {
             0
         } else {
             self.millicores
@@ -72,15 +72,19 @@
     let mut behind = false;
     loop {
         let began = shared.now();
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
         let took = shared.now().saturating_sub(began);
         shared
             .load
-            .note(took.saturating_sub(LOOK.as_millis() as Millis));
+            .record_delay(took.saturating_sub(SAMPLE_INTERVAL.as_millis() as Millis));
         let now_behind = shared.load.strength() == 0;
         if now_behind != behind {
             behind = now_behind;
-            tracing::info!(behind, late_ms = shared.load.late(), "load of the node");
+            tracing::info!(
+                behind,
+                late_ms = shared.load.average_delay(),
+                "load of the node"
+            );
             shared
                 .metrics
                 .event(if behind { "behind" } else { "caught_up" });
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -13,24 +13,24 @@
 use crate::rpc::node::{NodeCall, NodeReply};
 
 /// The pause after a first look that brought nothing: its answer may just be lost.
-const FIRST_LOOK_PAUSE: Duration = Duration::from_millis(20);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// The pause after further ones.
-const FAILED_LOOK_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Ends wait at most so long to be recorded before the worker is looked at again.
-const RECORD_WAIT: Duration = Duration::from_millis(400);
+const RECORD_TIMEOUT: Duration = Duration::from_millis(400);
 /// The pause between two looks at a worker that lists ends which wait for their jobs to be
 /// read: it does not wait for further ends, and urgent jobs have 0.9 s to spare.
 const HELD_ENDS_PAUSE: Duration = Duration::from_millis(100);
 /// The least time between two looks at a worker, so that ends which come close
 /// together cost one look.
-const LOOK_PAUSE: Duration = Duration::from_millis(15);
+const POLL_PAUSE: Duration = Duration::from_millis(15);
 /// A look of the worker's own loop waits as long as the core wants.
-const LONGEST_LOOK: Duration = Duration::from_secs(2);
+const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
 /// What a question through another node may take beyond its expected time.
 const ADVICE_SLACK: Millis = 500;
 
 /// What became of a look.
-enum Looked {
+enum PollResult {
     Answered,
     Failed,
     /// The core does not know the worker any more.
@@ -38,7 +38,7 @@
 }
 
 impl Engine {
-    pub(super) async fn carry_out(self: Arc<Self>, order: Order) {
+    pub(super) async fn execute(self: Arc<Self>, order: Order) {
         match order {
             Order::Start(order) => self.start_run(order).await,
             Order::Stop(order) => self.stop_run(order).await,
@@ -67,7 +67,7 @@
                 let settles = self.cell().is_doubtful(run);
                 if settles {
                     // The turn of the worker's own loop may wait for an end.
-                    self.look(order.to.worker, Duration::ZERO).await;
+                    self.poll_worker(order.to.worker, Duration::ZERO).await;
                 }
             }
             (Ok(()), None) => {}
@@ -116,33 +116,33 @@
     }
 
     /// Looks at one worker again and again, until it is gone or the ownership ends.
-    pub(super) async fn look_loop(self: Arc<Self>, key: WorkerKey) {
+    pub(super) async fn poll_loop(self: Arc<Self>, key: WorkerKey) {
         let mut failures = 0;
         loop {
             if !self.is_active() {
-                tokio::time::sleep(FAILED_LOOK_PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             }
             if self.cell().is_parked(key) {
-                self.stay_parked(key).await;
+                self.wait_until_unparked(key).await;
             }
-            match self.look(key, LONGEST_LOOK).await {
-                Looked::Gone => {
+            match self.poll_worker(key, MAX_POLL_WAIT).await {
+                PollResult::Gone => {
                     // Another life may have taken its place, and waits for its first look.
-                    self.look_after_workers();
+                    self.poll_new_workers();
                     return;
                 }
-                Looked::Answered => {
+                PollResult::Answered => {
                     failures = 0;
-                    self.pause_after_look(key).await;
+                    self.pause_after_poll(key).await;
                 }
-                Looked::Failed => {
+                PollResult::Failed => {
                     failures += 1;
                     let first = failures == 1;
                     tokio::time::sleep(if first {
-                        FIRST_LOOK_PAUSE
+                        FIRST_RETRY_PAUSE
                     } else {
-                        FAILED_LOOK_PAUSE
+                        RETRY_PAUSE
                     })
                     .await;
                 }
@@ -150,26 +150,26 @@
         }
     }
 
-    /// Looks at a worker once; the look may wait for an end, but no longer than `longest`.
-    async fn look(&self, key: WorkerKey, longest: Duration) -> Looked {
+    /// Looks at a worker once; the look may wait for an end, but no longer than `max_wait`.
+    async fn poll_worker(&self, key: WorkerKey, max_wait: Duration) -> PollResult {
         let sent = self.shared.now();
         let Some(mut order) = self.cell().poll_order(key, sent) else {
-            return Looked::Gone;
+            return PollResult::Gone;
         };
-        order.wait = order.wait.min(longest.as_millis() as Millis);
-        let answer = self.shared.workers.look(&order).await;
+        order.wait = order.wait.min(max_wait.as_millis() as Millis);
+        let answer = self.shared.workers.poll(&order).await;
         let now = self.shared.now();
         match answer {
-            Ok(look) => {
-                let news = !look.ended.is_empty() || order.due.is_none();
-                self.cell().poll_answered(&order, &look, now);
+            Ok(report) => {
+                let news = !report.ended.is_empty() || order.due.is_none();
+                self.cell().poll_answered(&order, &report, now);
                 if news {
                     self.record.notify_one();
                 }
-                if news || longest.is_zero() {
+                if news || max_wait.is_zero() {
                     self.wake.notify_one();
                 }
-                Looked::Answered
+                PollResult::Answered
             }
             Err(failure) => {
                 self.cell().poll_failed(key, failure, now);
@@ -177,14 +177,14 @@
                     self.shared.metrics.refusal(Refusal::Epoch.code());
                 }
                 self.wake.notify_one();
-                Looked::Failed
+                PollResult::Failed
             }
         }
     }
 
     /// Ends that are not recorded would come again at once, so their record is awaited.
-    async fn pause_after_look(&self, key: WorkerKey) {
-        tokio::time::sleep(LOOK_PAUSE).await;
+    async fn pause_after_poll(&self, key: WorkerKey) {
+        tokio::time::sleep(POLL_PAUSE).await;
         let recorded = async {
             loop {
                 let recorded = self.recorded.notified();
@@ -195,7 +195,7 @@
             }
         };
         // If the store is away the worker is looked at all the same.
-        let _ = tokio::time::timeout(RECORD_WAIT, recorded).await;
+        let _ = tokio::time::timeout(RECORD_TIMEOUT, recorded).await;
         if self.cell().holds_ends(key) {
             tokio::time::sleep(HELD_ENDS_PAUSE).await;
         }
--- a/src/node/pace.rs
+++ b/src/node/pace.rs
@@ -10,23 +10,23 @@
 use crate::clock::Millis;
 
 /// Events that come within this time are decided on together.
-pub const GATHER: Duration = Duration::from_millis(4);
+pub const BATCH_WINDOW: Duration = Duration::from_millis(4);
 /// The pause after a round, in times of its length.
-const OTHER_WORK: u32 = 3;
+const PAUSE_FACTOR: u32 = 3;
 /// No pause is longer than this, or than the round itself: urgent jobs have 0.9 s to spare.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(40);
+pub const MAX_PAUSE: Duration = Duration::from_millis(40);
 
 /// The pause after a round of decisions that took so long.
 pub fn pause_after(round: Duration) -> Duration {
-    let pause = (round * OTHER_WORK).min(LONGEST_PAUSE.max(round));
-    pause.max(GATHER)
+    let pause = (round * PAUSE_FACTOR).min(MAX_PAUSE.max(round));
+    pause.max(BATCH_WINDOW)
 }
 
 /// What an owner has spent on deciding since the last survey.
 ///
 /// Jobs that are late while rounds take long or turns come late wait for the owner, and not for room.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Rounds {
+pub struct RoundStats {
     /// How many rounds of decisions.
     pub count: u32,
     /// Milliseconds spent in them.
@@ -37,7 +37,7 @@
     pub orders: usize,
 }
 
-impl Rounds {
+impl RoundStats {
     /// Counts a round that took so long and gave so many orders.
     pub fn note(&mut self, took: Millis, orders: usize) {
         self.count += 1;
--- a/src/node/process.rs
+++ b/src/node/process.rs
@@ -22,12 +22,12 @@
 
 /// After the order to end, callers are served so long: the balancer needs two
 /// questions of a second each to notice.
-pub const LINGER: Duration = Duration::from_millis(2_300);
+pub const DRAIN_TIME: Duration = Duration::from_millis(2_300);
 
 /// How often a leaving node looks whether its last request is answered.
-const IDLE_LOOK: Duration = Duration::from_millis(20);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// How long the last requests may take: the platform ends a process after 6 s.
-const LAST_REQUESTS: Duration = Duration::from_millis(1_000);
+const LAST_REQUESTS_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A node that runs.
 pub struct Node {
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// Fails if signals cannot be listened for.
-pub async fn run_to_end(front: &Front, reload: impl Fn()) -> std::io::Result<()> {
+pub async fn run_until_terminated(front: &Front, reload: impl Fn()) -> std::io::Result<()> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut hangup = unix::signal(unix::SignalKind::hangup())?;
     loop {
@@ -100,14 +100,16 @@
     front.shared.leave();
     tokio::join!(
         election::hand_over(&front.shared),
-        tokio::time::sleep(LINGER)
+        tokio::time::sleep(DRAIN_TIME)
     );
     let idle = async {
         while !front.is_idle() {
-            tokio::time::sleep(IDLE_LOOK).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         }
     };
-    let finished = tokio::time::timeout(LAST_REQUESTS, idle).await.is_ok();
+    let finished = tokio::time::timeout(LAST_REQUESTS_TIMEOUT, idle)
+        .await
+        .is_ok();
     tracing::info!(finished, "node ends");
     Ok(())
 }
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -102,14 +102,14 @@
         // The lock is held until the transaction has been answered, so that a batch is only taken
         // when no other one is in flight.  Otherwise job ends could be passed on as recorded while
         // their rows are still in another batch.
-        let mut row = self.row.lock().await;
+        let mut row = self.ownership_row.lock().await;
         if release {
             self.releasing.store(true, Ordering::Relaxed);
         } else if self.releasing.load(Ordering::Relaxed) {
             // The release may have timed out and still take effect later, together with its rows.
             return;
         }
-        let most_jobs = self.most_jobs.load(Ordering::Relaxed);
+        let most_jobs = self.max_jobs.load(Ordering::Relaxed);
         // After the store has rejected a transaction, the job that caused it is searched for in
         // transactions without rows of the roster.
         let (roster, workers) = self.changed_roster(match most_jobs {
@@ -120,7 +120,7 @@
             .cell()
             .take_batch(most_jobs.min(MAX_ROWS - workers.rows()));
         if batch.rows.is_empty() && workers.rows() == 0 && !release {
-            self.most_jobs.store(MAX_JOBS, Ordering::Relaxed);
+            self.max_jobs.store(MAX_JOBS, Ordering::Relaxed);
             self.mark_roster_written(roster, &workers);
             if !batch.ends.is_empty() || !batch.ended_lives.is_empty() {
                 self.apply_recorded(batch);
@@ -182,7 +182,7 @@
             tokio::time::sleep(RETRY_PAUSE).await;
         }
         self.stalled.store(false, Ordering::Relaxed);
-        self.most_jobs.store(MAX_JOBS, Ordering::Relaxed);
+        self.max_jobs.store(MAX_JOBS, Ordering::Relaxed);
         self.mark_roster_written(roster, &workers);
         self.apply_recorded(batch);
     }
@@ -209,7 +209,7 @@
             0 => {}
             1 if !with_roster => self.cell().batch_rejected(batch),
             jobs => {
-                self.most_jobs.store((jobs / 2).max(1), Ordering::Relaxed);
+                self.max_jobs.store((jobs / 2).max(1), Ordering::Relaxed);
                 self.cell().batch_failed(batch);
             }
         }
@@ -232,7 +232,8 @@
             rows.is_written()
         };
         if is_written {
-            self.roster_recorded.store(version, Ordering::Relaxed);
+            self.recorded_roster_version
+                .store(version, Ordering::Relaxed);
             self.cell().mark_roster_recorded(version);
         }
     }
--- a/src/node/route.rs
+++ b/src/node/route.rs
@@ -13,8 +13,8 @@
 use tokio::sync::Notify;
 
 use crate::clock::Millis;
-use crate::node::patience::Patience;
 use crate::node::shared::Shared;
+use crate::node::store_latency::StoreLatency;
 use crate::rpc::PeerError;
 use crate::rpc::node::{NodeCall, NodeReply};
 use crate::store::{Store, StoreCall, StoreError, StoreReply, Table};
@@ -45,7 +45,7 @@
     works: AtomicBool,
     doubted: Notify,
     regained: Notify,
-    patience: Mutex<Patience>,
+    patience: Mutex<StoreLatency>,
 }
 
 impl RoutedStore {
@@ -163,12 +163,12 @@
         match reply {
             Ok(Ok(reply)) => {
                 self.lock_patience()
-                    .answered(now.saturating_sub(began), now);
+                    .note_answer(now.saturating_sub(began), now);
                 Ok(reply)
             }
             Ok(Err(err)) => Err(err),
             Err(_) => {
-                self.lock_patience().gave_up();
+                self.lock_patience().note_timeout();
                 Err(StoreError::Unanswered)
             }
         }
@@ -176,7 +176,7 @@
 
     /// How long the answer to a transaction can be expected to take at most.
     pub fn patience(&self) -> Duration {
-        Duration::from_millis(self.lock_patience().limit())
+        Duration::from_millis(self.lock_patience().timeout())
     }
 
     /// Tells whether the store takes long and does answer.
@@ -189,7 +189,7 @@
         self.lock_patience().is_slow(now)
     }
 
-    fn lock_patience(&self) -> MutexGuard<'_, Patience> {
+    fn lock_patience(&self) -> MutexGuard<'_, StoreLatency> {
         lock(&self.patience)
     }
 
@@ -239,23 +239,23 @@
     }
 }
 
-fn lock(patience: &Mutex<Patience>) -> MutexGuard<'_, Patience> {
+fn lock(patience: &Mutex<StoreLatency>) -> MutexGuard<'_, StoreLatency> {
     patience.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Counts a transaction as on its way, also when whoever waits for it gives up.
-struct OnItsWay<'a>(&'a Mutex<Patience>);
+struct OnItsWay<'a>(&'a Mutex<StoreLatency>);
 
 impl<'a> OnItsWay<'a> {
-    fn new(patience: &'a Mutex<Patience>, now: Millis) -> Self {
-        lock(patience).sent(now);
+    fn new(patience: &'a Mutex<StoreLatency>, now: Millis) -> Self {
+        lock(patience).note_sent(now);
         Self(patience)
     }
 }
 
 impl Drop for OnItsWay<'_> {
     fn drop(&mut self) {
-        lock(self.0).over();
+        lock(self.0).note_finished();
     }
 }
 
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -229,7 +229,7 @@
     /// Fails if a collector cannot be encoded.
     pub fn render_metrics(&self) -> crate::error::Result<String> {
         if let Some(engine) = self.engine() {
-            engine.count(&self.metrics);
+            engine.export_counts(&self.metrics);
         }
         let owns = i64::from(self.engine().is_some());
         self.metrics.gauge("owns_cell", owns);
@@ -240,7 +240,8 @@
             "evacuated_halls",
             evacuated.map_or(-1, |halls| halls.len() as i64),
         );
-        self.metrics.gauge("late_ms", self.load.late() as i64);
+        self.metrics
+            .gauge("late_ms", self.load.average_delay() as i64);
         let text = self.metrics.render()?;
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
@@ -394,7 +395,7 @@
             _ if beat.owns => self.early_ends().hear(beat),
             Some(engine) if !beat.ends.is_empty() => {
                 self.early_ends().learn_workspaces(&beat.workspaces);
-                engine.believe_ends(&beat.ends);
+                engine.accept_peer_ends(&beat.ends);
             }
             _ => {}
         }
--- a/src/node/patience.rs
+++ b/src/node/store_latency.rs
@@ -7,9 +7,9 @@
 use crate::clock::Millis;
 
 /// The least limit: thirty times what an answer takes on an ordinary day.
-pub const LEAST: Millis = 200;
+pub const MIN_TIMEOUT: Millis = 200;
 /// The greatest limit: an answer of a store that is ninety times slower takes 0.9 s.
-pub const MOST: Millis = 1_200;
+pub const MAX_TIMEOUT: Millis = 1_200;
 /// An answer may take so many times as long as the last ones.
 const SPREAD: Millis = 6;
 /// After an answer the limit falls to no less than this part, in hundredths.
@@ -23,8 +23,8 @@
 
 /// The limit, as it stands, and what is on its way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
-    limit: Millis,
+pub struct StoreLatency {
+    timeout: Millis,
     /// Transactions that wait for an answer.
     on_their_way: usize,
     /// Since when they wait without any of them being answered.
@@ -33,10 +33,10 @@
     answered: Option<Millis>,
 }
 
-impl Default for Patience {
+impl Default for StoreLatency {
     fn default() -> Self {
         Self {
-            limit: 2 * LEAST,
+            timeout: 2 * MIN_TIMEOUT,
             on_their_way: 0,
             silent_since: 0,
             answered: None,
@@ -44,26 +44,26 @@
     }
 }
 
-impl Patience {
+impl StoreLatency {
     /// How long to wait now.
-    pub fn limit(&self) -> Millis {
-        self.limit
+    pub fn timeout(&self) -> Millis {
+        self.timeout
     }
 
     /// Tells whether the store is slow, or may have turned so just now.
     pub fn is_slow(&self, now: Millis) -> bool {
         let silent = self.on_their_way > 0 && now.saturating_sub(self.silent_since) > SILENT;
-        silent || self.limit > SLOW
+        silent || self.timeout > SLOW
     }
 
     /// Tells whether the store takes long and does answer, so that waiting is worth while.
     pub fn answers_slowly(&self, now: Millis) -> bool {
-        let lately = |at: Millis| now.saturating_sub(at) < MOST;
-        self.limit > SLOW && self.answered.is_some_and(lately)
+        let lately = |at: Millis| now.saturating_sub(at) < MAX_TIMEOUT;
+        self.timeout > SLOW && self.answered.is_some_and(lately)
     }
 
     /// A transaction is sent.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn note_sent(&mut self, now: Millis) {
         if self.on_their_way == 0 {
             self.silent_since = now;
         }
@@ -71,20 +71,20 @@
     }
 
     /// A transaction is over, with an answer or without.
-    pub fn over(&mut self) {
+    pub fn note_finished(&mut self) {
         self.on_their_way -= 1;
     }
 
     /// An answer came after `took`.
-    pub fn answered(&mut self, took: Millis, now: Millis) {
+    pub fn note_answer(&mut self, took: Millis, now: Millis) {
         self.silent_since = now;
         self.answered = Some(now);
-        let wanted = (SPREAD * took).clamp(LEAST, MOST);
-        self.limit = wanted.max(self.limit * FALL / 100);
+        let wanted = (SPREAD * took).clamp(MIN_TIMEOUT, MAX_TIMEOUT);
+        self.timeout = wanted.max(self.timeout * FALL / 100);
     }
 
     /// No answer came within the limit.
-    pub fn gave_up(&mut self) {
-        self.limit = (2 * self.limit).min(MOST);
+    pub fn note_timeout(&mut self) {
+        self.timeout = (2 * self.timeout).min(MAX_TIMEOUT);
     }
 }
--- a/src/node/survey.rs
+++ b/src/node/summary.rs
@@ -5,26 +5,26 @@
 use crate::cell::view::Waiting;
 use crate::cell::{Cell, Counts, WorkerCounts};
 use crate::clock::Millis;
-use crate::node::pace::Rounds;
+use crate::node::pace::RoundStats;
 
 /// What waits, and for what, how the cell stands, and whether its owner keeps up.
-pub struct Survey {
+pub struct Summary {
     waiting: Waiting,
     held: Demand,
     capacity: Demand,
     workers: WorkerCounts,
     /// How old what is known of the workers' entries is.
     workers_age: Millis,
-    rounds: Rounds,
+    rounds: RoundStats,
     /// What was done since the ownership began.
     counts: Counts,
     /// How late the owner's turns come, on the average.
     late: Millis,
 }
 
-impl Survey {
+impl Summary {
     /// Surveys a cell, of whose workers what is known is so old, and whose owner's turns come so late.
-    pub fn of(cell: &Cell, workers_age: Millis, rounds: Rounds, late: Millis) -> Self {
+    pub fn new(cell: &Cell, workers_age: Millis, rounds: RoundStats, late: Millis) -> Self {
         let (held, capacity) = cell.room();
         Self {
             waiting: cell.waiting().clone(),
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -68,7 +68,7 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+    fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         if order.to.life.id == "w0" && self.cut.load(Ordering::Relaxed) {
             return async {
                 tokio::time::sleep(LOOK_LIMIT).await;
@@ -76,7 +76,7 @@
             }
             .boxed();
         }
-        self.inner.look(order)
+        self.inner.poll(order)
     }
 }
 
--- a/tests/former_owner.rs
+++ b/tests/former_owner.rs
@@ -39,8 +39,8 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
-        self.inner.look(order)
+    fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+        self.inner.poll(order)
     }
 }
 
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -118,7 +118,7 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+    fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         async {
             if self.seen.is_silent(&order.to.life.id) {
                 tokio::time::sleep(CALL_LIMIT).await;
@@ -128,7 +128,7 @@
                 let renewal = (self.clock.now(), order.to.life.id.clone());
                 self.seen.renewals.lock().expect("renewals").push(renewal);
             }
-            let look = self.inner.look(order).await;
+            let look = self.inner.poll(order).await;
             if self.seen.is_silent(&order.to.life.id) {
                 return Err(PollFailure::Unanswered);
             }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -6,12 +6,12 @@
 fn a_node_that_is_late_again_and_again_is_behind_until_it_has_caught_up() {
     let load = Load::new(500);
     for _ in 0..10 {
-        load.note(300);
+        load.record_delay(300);
     }
     assert_eq!(load.strength(), 0);
 
     for _ in 0..10 {
-        load.note(0);
+        load.record_delay(0);
     }
 
     assert_eq!(load.strength(), 500);
@@ -20,6 +20,6 @@
 #[test]
 fn a_single_late_turn_does_not_make_a_node_weak() {
     let load = Load::new(500);
-    load.note(300);
+    load.record_delay(300);
     assert_eq!(load.strength(), 500);
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -52,8 +52,8 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
-        self.inner.look(order)
+    fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+        self.inner.poll(order)
     }
 }
 
--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -27,5 +27,5 @@
     let pause = pace::pause_after(round);
 
     assert!(pause <= round, "{pause:?}");
-    assert!(pause >= round.min(pace::LONGEST_PAUSE), "{pause:?}");
+    assert!(pause >= round.min(pace::MAX_PAUSE), "{pause:?}");
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -55,9 +55,9 @@
         self.inner.stop(order)
     }
 
-    fn look<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+    fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         self.orders.lock().expect("orders").looks += 1;
-        self.inner.look(order)
+        self.inner.poll(order)
     }
 }
 
--- a/tests/virtual_node/mod.rs
+++ b/tests/virtual_node/mod.rs
@@ -174,7 +174,7 @@
         async { Err(None) }.boxed()
     }
 
-    fn look<'a>(&'a self, _: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
+    fn poll<'a>(&'a self, _: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         async { Err(PollFailure::Unanswered) }.boxed()
     }
 }
