--- a/src/cell/lost.rs
+++ b/src/cell/lost.rs
@@ -31,7 +31,7 @@
     /// When it was last found that a life of this id had ended.
     noted: Sequence,
     /// A former owner may have started tasks there, also of jobs that are not read yet.
-    hides_starts: bool,
+    may_have_unknown_starts: bool,
 }
 
 impl Cell {
@@ -39,7 +39,7 @@
     /// is not in the roster was never sent a start.
     pub(super) fn keep_ended_life(&mut self, key: WorkerKey) {
         let worker = &self.workers[key];
-        let hides_starts = worker.may_have_unknown_starts();
+        let may_have_unknown_starts = worker.may_have_unknown_starts();
         if worker.roster_state != RosterState::Absent {
             let entry = RosterEntry {
                 jobs: None,
@@ -47,15 +47,15 @@
                 lost: Some(LostLife::This),
                 worker: worker.entry.clone(),
             };
-            self.keep_in_roster(entry, hides_starts);
+            self.keep_in_roster(entry, may_have_unknown_starts);
         }
-        if hides_starts {
+        if may_have_unknown_starts {
             self.assume_unrecorded_starts();
         }
     }
 
     /// Adds an ended life to those that stay in the roster, or renews the one of the same id.
-    fn keep_in_roster(&mut self, entry: RosterEntry, hides_starts: bool) {
+    fn keep_in_roster(&mut self, entry: RosterEntry, may_have_unknown_starts: bool) {
         let noted = self.next_sequence();
         let id = &entry.worker.life.id;
         let mut kept = self.ended_lives.iter_mut();
@@ -63,12 +63,12 @@
             // What is being recorded for an earlier life does not cover this one.
             Some(kept) => {
                 kept.noted = noted;
-                kept.hides_starts |= hides_starts;
+                kept.may_have_unknown_starts |= may_have_unknown_starts;
             }
             None => self.ended_lives.push(EndedLife {
                 entry,
                 noted,
-                hides_starts,
+                may_have_unknown_starts,
             }),
         }
     }
@@ -100,13 +100,13 @@
     }
 
     /// Returns the ended lives that may leave the roster once all pending changes are recorded.
-    /// While some jobs are not read yet, lives that may hide starts are not among them: those jobs
-    /// carry no mark yet that could be recorded.
+    /// While some jobs are not read yet, lives that may have unknown starts are not among them:
+    /// those jobs carry no mark yet that could be recorded.
     pub(super) fn lives_to_release(&self) -> Vec<Sequence> {
         let releasable = self
             .ended_lives
             .iter()
-            .filter(|kept| !kept.hides_starts || !self.has_unread_jobs);
+            .filter(|kept| !kept.may_have_unknown_starts || !self.has_unread_jobs);
         releasable.map(|kept| kept.noted).collect()
     }
 
