--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -290,9 +290,9 @@
         pending.losses.push(PendingLoss { loss_key, noted });
     }
 
-    /// Clears the losses that were noted on the present life of a worker before `sent`, when the
-    /// poll that it has now answered was sent: they did not crash it. Nor did a start that had been
-    /// given up as unanswered and barred by a stop by then.
+    /// Clears the losses on the present life of a worker that were noted before `sent`: the worker
+    /// has answered a poll sent then, so those runs did not crash it. Neither did a start that had
+    /// been given up as unanswered and was barred by a confirmed stop before `sent`.
     pub(super) fn clear_survived_losses(&mut self, key: WorkerKey, sent: Sequence) {
         for run in self.unproven_runs(key) {
             let given_up = self.runs[run].doubt_heard.is_some_and(|heard| heard < sent);
