--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -263,8 +263,8 @@
         candidates
     }
 
-    /// Returns a worker as a placement candidate for a step, unless none of its tasks can start there
-    /// now.
+    /// Returns a worker as a placement candidate for a step, unless none of its tasks can start
+    /// there now.
     fn placement_candidate(
         &self,
         key: StepKey,
