--- a/src/embedded/mod.rs
+++ b/src/embedded/mod.rs
@@ -18,8 +18,8 @@
 use crate::embedded::store::MemoryStore;
 use crate::embedded::worker::{ENDLESS, MemoryWorkers};
 use crate::error::Result;
-use crate::node::front::{Front, Told};
-use crate::node::intake::Submitted;
+use crate::node::front::{Frontend, JobAnswer};
+use crate::node::intake::SubmitOutcome;
 use crate::node::links::{DecodeError, Decoder};
 use crate::node::process::{self, Node};
 use crate::node::settings::Settings;
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 /// Fails if no port is free on the loopback address.
-pub async fn start() -> Result<Arc<Front>> {
+pub async fn start() -> Result<Arc<Frontend>> {
     let settings = Settings::parse(SETTINGS, "embedded")?;
     let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
     let store = Arc::new(MemoryStore::default());
@@ -218,7 +218,7 @@
 
 /// Hands a job in and waits until it is done, or runs whole if it lasts.
 async fn run_sample(
-    front: &Front,
+    front: &Frontend,
     id: JobId,
     sample: Sample,
     say: &mut impl FnMut(String),
@@ -229,7 +229,7 @@
     if front
         .submit(&Caller::Operator, &queue, id, spec, None)
         .await
-        != Submitted::Accepted
+        != SubmitOutcome::Accepted
     {
         say(format!("{what}: not accepted."));
         return false;
@@ -249,7 +249,7 @@
 }
 
 /// The queue that the configuration has under a name, or what it would be.
-fn queue_named(front: &Front, name: &str) -> Queue {
+fn queue_named(front: &Frontend, name: &str) -> Queue {
     let config = front.shared.config().unwrap_or_default();
     config
         .queue(name)
@@ -276,8 +276,8 @@
     }
 }
 
-async fn end_service(front: &Front, id: JobId, say: &mut impl FnMut(String)) -> bool {
-    let cancelled = front.cancel(&Caller::Operator, id, None).await == Told::Cancelled;
+async fn end_service(front: &Frontend, id: JobId, say: &mut impl FnMut(String)) -> bool {
+    let cancelled = front.cancel(&Caller::Operator, id, None).await == JobAnswer::Cancelled;
     say(String::from(if cancelled {
         "The service was cancelled."
     } else {
--- a/src/http/api.rs
+++ b/src/http/api.rs
@@ -19,8 +19,8 @@
 use crate::cell::view::JobView;
 use crate::http::operator::OperatorToken;
 use crate::http::{answer, body, keys, server};
-use crate::node::front::{Front, RETRY_AFTER, Told};
-use crate::node::intake::Submitted;
+use crate::node::front::{Frontend, JobAnswer, RETRY_AFTER};
+use crate::node::intake::SubmitOutcome;
 use crate::node::policy::{self, Change, PolicyRow};
 use crate::policy::Program;
 use crate::queue::Configuration;
@@ -105,7 +105,7 @@
 /// Answers the calls of callers and operators.
 #[derive(Clone)]
 pub struct Api {
-    front: Arc<Front>,
+    front: Arc<Frontend>,
     token: Arc<OperatorToken>,
 }
 
@@ -114,14 +114,14 @@
     type Error = Infallible;
 
     async fn call(&self, _cx: &mut ServerContext, req: Request) -> Result<Response, Infallible> {
-        let _busy = self.front.busy();
+        let _busy = self.front.track_request();
         Ok(self.answer(req).await)
     }
 }
 
 impl Api {
     /// Makes the interface of a node.
-    pub fn new(front: Arc<Front>, token: OperatorToken) -> Self {
+    pub fn new(front: Arc<Frontend>, token: OperatorToken) -> Self {
         Self {
             front,
             token: Arc::new(token),
@@ -210,11 +210,11 @@
         let caller = self.caller(&config, queue.public, headers)?;
         let submitted = self.front.submit(&caller, queue, id, submission.job, None);
         match submitted.await {
-            Submitted::Accepted => Ok(accepted(id)),
-            Submitted::Refused => Err(Refusal::StoreUnavailable.into()),
-            Submitted::Doubtful => Err(Refusal::Doubtful.into()),
-            Submitted::BeyondCap => Err(Refusal::BeyondCap.into()),
-            Submitted::IdInUse => Err(Refusal::IdInUse.into()),
+            SubmitOutcome::Accepted => Ok(accepted(id)),
+            SubmitOutcome::Refused => Err(Refusal::StoreUnavailable.into()),
+            SubmitOutcome::Doubtful => Err(Refusal::Doubtful.into()),
+            SubmitOutcome::BeyondCap => Err(Refusal::BeyondCap.into()),
+            SubmitOutcome::IdInUse => Err(Refusal::IdInUse.into()),
         }
     }
 
@@ -222,21 +222,23 @@
         let caller = self.asker(headers)?;
         match self.front.explain(&caller, id).await {
             Ok(view) => Ok(answer::json(StatusCode::OK, &view)),
-            Err(Told::State(state)) => {
+            Err(JobAnswer::State(state)) => {
                 let view = JobView::of_state(id, state);
                 Ok(answer::json(StatusCode::OK, &view))
             }
-            Err(Told::Unknown) => Err(Refusal::NoSuchJob.into()),
-            Err(Told::Cancelled | Told::Unavailable) => Err(Refusal::OwnerUnavailable.into()),
+            Err(JobAnswer::Unknown) => Err(Refusal::NoSuchJob.into()),
+            Err(JobAnswer::Cancelled | JobAnswer::Unavailable) => {
+                Err(Refusal::OwnerUnavailable.into())
+            }
         }
     }
 
     async fn cancel(&self, headers: &HeaderMap, id: JobId) -> Result<Response, Rejection> {
         let caller = self.asker(headers)?;
         match self.front.cancel(&caller, id, None).await {
-            Told::Cancelled | Told::State(_) => Ok(accepted(id)),
-            Told::Unknown => Err(Refusal::NoSuchJob.into()),
-            Told::Unavailable => Err(Refusal::OwnerUnavailable.into()),
+            JobAnswer::Cancelled | JobAnswer::State(_) => Ok(accepted(id)),
+            JobAnswer::Unknown => Err(Refusal::NoSuchJob.into()),
+            JobAnswer::Unavailable => Err(Refusal::OwnerUnavailable.into()),
         }
     }
 
--- a/src/node/early.rs
+++ b/src/node/early_ends.rs
@@ -20,20 +20,20 @@
     /// Whose those jobs are, of those that belong to a workspace.
     workspaces: BTreeMap<JobId, String>,
     /// The epoch of a later owner that has been told of them.
-    passed_on: u64,
+    answered_epoch: u64,
 }
 
 impl EarlyEnds {
     /// Takes in an owner's heartbeat, which names all ends that it could not record.
     ///
     /// What a former owner told is kept until its successor has had an answer from us.
-    pub fn hear(&mut self, beat: &Beat) {
+    pub fn apply_heartbeat(&mut self, beat: &Beat) {
         if beat.epoch < self.epoch {
             return;
         }
         let may_not_know = beat.epoch > self.epoch && !self.ends.is_empty();
-        if may_not_know && self.passed_on < beat.epoch {
-            self.passed_on = beat.epoch;
+        if may_not_know && self.answered_epoch < beat.epoch {
+            self.answered_epoch = beat.epoch;
             return;
         }
         self.epoch = beat.epoch;
@@ -42,7 +42,7 @@
     }
 
     /// Another node tells whose jobs have ended, to the owner.
-    pub fn learn_workspaces(&mut self, workspaces: &[(JobId, String)]) {
+    pub fn add_workspaces(&mut self, workspaces: &[(JobId, String)]) {
         self.workspaces.extend(workspaces.iter().cloned());
     }
 
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -84,7 +84,7 @@
     loop {
         if !written {
             let call = StoreCall::Commit(tx.clone());
-            written = shared.store_unhurried(call).await.is_ok();
+            written = shared.store_without_timeout(call).await.is_ok();
         }
         if list_nodes(&shared).await && written {
             break;
@@ -140,7 +140,7 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
         let suspect = shared.owner().is_suspect(shared.now());
-        if !shared.leaving() && suspect {
+        if !shared.is_leaving() && suspect {
             consider_claim(&shared).await;
         }
     }
@@ -178,7 +178,7 @@
         return;
     };
     if address != shared.address {
-        exchange(shared, address, shared.beat(), BEAT_TIMEOUT).await;
+        exchange(shared, address, shared.heartbeat(), BEAT_TIMEOUT).await;
     }
 }
 
@@ -194,7 +194,7 @@
     let asked = shared.now();
     match shared.peers.call(address, call, timeout).await {
         Ok(NodeReply::Beat(beat)) => {
-            shared.hear(&beat);
+            shared.apply_heartbeat(&beat);
             shared.members().note_store_answer(&beat.name, asked);
             Some(*beat)
         }
@@ -208,7 +208,7 @@
     addresses: Vec<SocketAddr>,
     timeout: Millis,
 ) -> Vec<Beat> {
-    let beat = shared.beat();
+    let beat = shared.heartbeat();
     let exchanges = addresses
         .into_iter()
         .map(|address| exchange(shared, address, beat.clone(), timeout));
@@ -443,7 +443,7 @@
     let Ok(address) = owner.address.parse() else {
         return true;
     };
-    match exchange(shared, address, shared.beat(), BEAT_TIMEOUT).await {
+    match exchange(shared, address, shared.heartbeat(), BEAT_TIMEOUT).await {
         Some(beat) => beat.name != owner.name || beat.boot == owner.boot,
         None => suspected > 0,
     }
@@ -489,7 +489,7 @@
     let mut tx = Transaction::default();
     tx.expected.push((OwnerRow::key(), version));
     tx.puts.push((OwnerRow::key(), claim.write()));
-    let writing = shared.store_unhurried(StoreCall::Commit(tx));
+    let writing = shared.store_without_timeout(StoreCall::Commit(tx));
     let reply = tokio::select! {
         reply = writing => reply,
         () = until_claimed(shared, claim) => Err(StoreError::Unanswered),
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -12,7 +12,7 @@
 use crate::cell::spec::{JobId, JobSpec};
 use crate::cell::view::JobView;
 use crate::clock::Millis;
-use crate::node::intake::{Intake, Submitted};
+use crate::node::intake::{Intake, SubmitOutcome};
 use crate::node::loading;
 use crate::node::owner_calls::{OWNER_TIMEOUT, ask_owner, notify_owner, serve_as_owner};
 use crate::node::shared::{PARTITION, Shared};
@@ -44,7 +44,7 @@
 
 /// What became of a question or a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum JobAnswer {
     /// How far the job is.
     State(JobState),
     /// There is no such job.
@@ -56,7 +56,7 @@
 }
 
 /// The side of a node that callers and other nodes see.
-pub struct Front {
+pub struct Frontend {
     /// What all parts of the node share.
     pub shared: Arc<Shared>,
     intake: Intake,
@@ -65,15 +65,15 @@
 }
 
 /// One request that is being answered; dropping it ends the count.
-pub struct Busy(Arc<AtomicUsize>);
+pub struct RequestGuard(Arc<AtomicUsize>);
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Front {
+impl Frontend {
     /// Makes the front of a node.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
@@ -84,9 +84,9 @@
     }
 
     /// Counts a request for as long as the value lives.
-    pub fn busy(&self) -> Busy {
+    pub fn track_request(&self) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::Relaxed);
-        Busy(Arc::clone(&self.requests))
+        RequestGuard(Arc::clone(&self.requests))
     }
 
     /// Tells whether no request is being answered.
@@ -96,7 +96,7 @@
 
     /// Tells whether the node should get new connections: it can take jobs.
     pub fn is_ready(&self) -> bool {
-        self.shared.config().is_some() && !self.shared.leaving() && self.shared.has_store()
+        self.shared.config().is_some() && !self.shared.is_leaving() && self.shared.can_reach_store()
     }
 
     /// Takes a job in.  It is durable before this says so; `deadline` is the time that
@@ -108,10 +108,10 @@
         id: JobId,
         spec: JobSpec,
         deadline: Option<Millis>,
-    ) -> Submitted {
+    ) -> SubmitOutcome {
         let workspace = self.workspace(caller);
         if workspace.as_ref().is_some_and(|w| !w.could_run(&spec)) {
-            return Submitted::BeyondCap;
+            return SubmitOutcome::BeyondCap;
         }
         let row = JobRow {
             id,
@@ -121,7 +121,7 @@
         };
         let began = self.shared.now();
         let outcome = match self.is_anothers(caller, id).await {
-            true => Submitted::IdInUse,
+            true => SubmitOutcome::IdInUse,
             false => self.write(&row, deadline).await,
         };
         let now = self.shared.now();
@@ -137,7 +137,7 @@
         self.shared
             .metrics
             .wait("accept", now.saturating_sub(began));
-        if outcome == Submitted::Accepted {
+        if outcome == SubmitOutcome::Accepted {
             self.shared.metrics.outcome("accepted");
             tokio::spawn(notify_owner(Arc::clone(&self.shared), row));
         }
@@ -172,9 +172,9 @@
         self.shared.config()?.workspace(name).cloned()
     }
 
-    async fn write(&self, row: &JobRow, deadline: Option<Millis>) -> Submitted {
-        if !self.shared.has_store() {
-            return Submitted::Refused;
+    async fn write(&self, row: &JobRow, deadline: Option<Millis>) -> SubmitOutcome {
+        if !self.shared.can_reach_store() {
+            return SubmitOutcome::Refused;
         }
         let writing = self.intake.write(row);
         tokio::pin!(writing);
@@ -183,23 +183,23 @@
         }
         if !self.shared.store_answers_slowly() {
             // The write goes on: the job may yet be taken.
-            return Submitted::Doubtful;
+            return SubmitOutcome::Doubtful;
         }
         let longer = slow_hold(deadline).saturating_sub(hold(deadline));
         let outcome = tokio::time::timeout(longer, writing).await;
-        outcome.unwrap_or(Submitted::Doubtful)
+        outcome.unwrap_or(SubmitOutcome::Doubtful)
     }
 
     /// Tells how far a job is, to a caller that has `deadline` left.
-    pub async fn state(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> Told {
+    pub async fn state(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> JobAnswer {
         let asking = tokio::time::timeout(hold(deadline), self.find_state(caller, id));
         asking.await.unwrap_or_else(|_| {
             tracing::info!(request = %id, ?deadline, "state is not found in time");
-            Told::Unavailable
+            JobAnswer::Unavailable
         })
     }
 
-    async fn find_state(&self, caller: &Caller, id: JobId) -> Told {
+    async fn find_state(&self, caller: &Caller, id: JobId) -> JobAnswer {
         self.await_owner().await;
         let call = NodeCall::State(question(caller, id));
         let asked = ask_owner(&self.shared, call, OWNER_TIMEOUT).await;
@@ -208,9 +208,9 @@
             (ends.state(id), ends.may_see(caller, id))
         };
         let (told, source) = match (asked, early) {
-            (Some(NodeReply::State(state)), _) => (Told::State(state), "owner"),
-            (_, Some(_)) if !may_see => (Told::Unknown, "early ends"),
-            (_, Some(state)) => (Told::State(state), "early ends"),
+            (Some(NodeReply::State(state)), _) => (JobAnswer::State(state), "owner"),
+            (_, Some(_)) if !may_see => (JobAnswer::Unknown, "early ends"),
+            (_, Some(state)) => (JobAnswer::State(state), "early ends"),
             _ => (self.stored_state(caller, id).await, "rows"),
         };
         let epoch = self.shared.owner().epoch;
@@ -229,43 +229,47 @@
 
     /// Reads a job's state from its rows: first from that of its progress, since looking
     /// for the job takes a call for each partition.
-    async fn stored_state(&self, caller: &Caller, id: JobId) -> Told {
+    async fn stored_state(&self, caller: &Caller, id: JobId) -> JobAnswer {
         let progress = StoreCall::row(Table::Progress, PARTITION, &id.to_string());
         let Ok(StoreReply::Rows { rows, .. }) = self.shared.store(progress).await else {
-            return Told::Unavailable;
+            return JobAnswer::Unavailable;
         };
         if let Some(row) = rows.first() {
             return match serde_json::from_str::<JobProgress>(&row.value) {
                 Ok(progress) if caller.may_see(progress.workspace.as_deref()) => {
-                    Told::State(progress.state)
+                    JobAnswer::State(progress.state)
                 }
-                Ok(_) => Told::Unknown,
+                Ok(_) => JobAnswer::Unknown,
                 Err(err) => {
                     tracing::error!(%err, request = %id, "progress cannot be read");
-                    Told::Unavailable
+                    JobAnswer::Unavailable
                 }
             };
         }
         let Ok(job) = loading::find_job(&self.shared, id).await else {
-            return Told::Unavailable;
+            return JobAnswer::Unavailable;
         };
         match job {
             Some(row) => {
                 let workspace = row.workspace.as_ref().map(|w| w.name.as_str());
                 let told = match caller.may_see(workspace) {
-                    true => Told::State(JobState::Queued),
-                    false => Told::Unknown,
+                    true => JobAnswer::State(JobState::Queued),
+                    false => JobAnswer::Unknown,
                 };
                 tokio::spawn(notify_owner(Arc::clone(&self.shared), row));
                 told
             }
-            None => Told::Unknown,
+            None => JobAnswer::Unknown,
         }
     }
 
     /// Tells how a job stands in detail, which only the owner knows; `Err` tells as much
     /// as any node can.
-    pub async fn explain(&self, caller: &Caller, id: JobId) -> std::result::Result<JobView, Told> {
+    pub async fn explain(
+        &self,
+        caller: &Caller,
+        id: JobId,
+    ) -> std::result::Result<JobView, JobAnswer> {
         let call = NodeCall::Explain(question(caller, id));
         let asked = ask_owner(&self.shared, call, OWNER_TIMEOUT).await;
         if let Some(NodeReply::Explained(view)) = asked {
@@ -279,19 +283,19 @@
 
     /// Cancels a job, for a caller that has `deadline` left; it is recorded before this
     /// says so.
-    pub async fn cancel(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> Told {
+    pub async fn cancel(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> JobAnswer {
         let cancelling = tokio::time::timeout(hold(deadline), self.ask_to_cancel(caller, id));
-        let told = cancelling.await.unwrap_or(Told::Unavailable);
+        let told = cancelling.await.unwrap_or(JobAnswer::Unavailable);
         tracing::info!(request = %id, ?told, "cancellation");
         told
     }
 
-    async fn ask_to_cancel(&self, caller: &Caller, id: JobId) -> Told {
+    async fn ask_to_cancel(&self, caller: &Caller, id: JobId) -> JobAnswer {
         let call = NodeCall::Cancel(question(caller, id));
         match ask_owner(&self.shared, call, CANCEL_TIMEOUT).await {
-            Some(NodeReply::Cancelled) => Told::Cancelled,
-            Some(NodeReply::UnknownJob) => Told::Unknown,
-            _ => Told::Unavailable,
+            Some(NodeReply::Cancelled) => JobAnswer::Cancelled,
+            Some(NodeReply::UnknownJob) => JobAnswer::Unknown,
+            _ => JobAnswer::Unavailable,
         }
     }
 
@@ -316,8 +320,8 @@
         let shared = &self.shared;
         match call {
             NodeCall::Beat(beat) => {
-                shared.hear(&beat);
-                NodeReply::Beat(Box::new(shared.beat_for(&beat.name)))
+                shared.apply_heartbeat(&beat);
+                NodeReply::Beat(Box::new(shared.heartbeat_for(&beat.name)))
             }
             NodeCall::Accepted(_)
             | NodeCall::State(_)
@@ -363,7 +367,7 @@
     Duration::from_millis(left * percent / 100)
 }
 
-impl NodeService for Front {
+impl NodeService for Frontend {
     fn serve(&self, call: NodeCall) -> BoxFuture<'_, NodeReply> {
         self.serve_call(call).boxed()
     }
--- a/src/node/heartbeat.rs
+++ b/src/node/heartbeat.rs
@@ -104,7 +104,7 @@
             WATCHER_INTERVAL
         };
         beat = beat.filter(|(made, _)| now.saturating_sub(*made) < age);
-        let (_, base) = beat.get_or_insert_with(|| (now, shared.beat()));
+        let (_, base) = beat.get_or_insert_with(|| (now, shared.heartbeat()));
         for node in due {
             spawn_exchange(shared, base, node);
         }
--- a/src/node/intake.rs
+++ b/src/node/intake.rs
@@ -11,7 +11,7 @@
 
 use crate::cell::record::JobRow;
 use crate::clock::Millis;
-use crate::node::job_batch::{self, Batch, MOST_WRITERS, Plan, SLOW_LANES};
+use crate::node::job_batch::{self, Batch, MAX_SLOW_STORE_WRITERS, Plan, SLOW_STORE_BATCHES};
 use crate::node::shared::Shared;
 use crate::rpc::PeerError;
 use crate::rpc::node::{NodeCall, NodeReply};
@@ -31,7 +31,7 @@
 
 /// What became of a job that a caller handed in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitOutcome {
     /// It is kept, now or since before.
     Accepted,
     /// It was not taken and never will be.
@@ -49,7 +49,7 @@
     value: String,
     /// A caller handed it in at this node.
     own: bool,
-    answer: oneshot::Sender<Submitted>,
+    answer: oneshot::Sender<SubmitOutcome>,
 }
 
 /// Writes jobs to the store.
@@ -66,26 +66,26 @@
     }
 
     /// Writes one job.
-    pub async fn write(&self, row: &JobRow) -> Submitted {
+    pub async fn write(&self, row: &JobRow) -> SubmitOutcome {
         let value = match serde_json::to_string(row) {
             Ok(value) => value,
             Err(err) => {
                 tracing::error!(%err, request = %row.id, "a job cannot be encoded");
-                return Submitted::Refused;
+                return SubmitOutcome::Refused;
             }
         };
         self.queue(row.id.to_string(), value, true).await
     }
 
     /// Writes rows of jobs for another node, and tells what became of each.
-    pub async fn write_for_node(&self, rows: Batch) -> Vec<Submitted> {
+    pub async fn write_for_node(&self, rows: Batch) -> Vec<SubmitOutcome> {
         let writes = rows
             .into_iter()
             .map(|(key, value)| self.queue(key, value, false));
         join_all(writes).await
     }
 
-    async fn queue(&self, key: String, value: String, own: bool) -> Submitted {
+    async fn queue(&self, key: String, value: String, own: bool) -> SubmitOutcome {
         let (answer, rx) = oneshot::channel();
         let waiting = Waiting {
             key,
@@ -94,9 +94,9 @@
             answer,
         };
         if self.tx.try_send(waiting).is_err() {
-            return Submitted::Refused;
+            return SubmitOutcome::Refused;
         }
-        rx.await.unwrap_or(Submitted::Doubtful)
+        rx.await.unwrap_or(SubmitOutcome::Doubtful)
     }
 }
 
@@ -107,12 +107,12 @@
     }
     // Of so few nodes that all write, none has a rank beyond theirs.
     let (rank, _) = shared.rank();
-    if rank < MOST_WRITERS {
+    if rank < MAX_SLOW_STORE_WRITERS {
         return None;
     }
     // The writers come before us by name, so among the others their places are the same.
     let members = shared.members();
-    let writer = members.iter().nth(rank % MOST_WRITERS);
+    let writer = members.iter().nth(rank % MAX_SLOW_STORE_WRITERS);
     writer.map(|(_, member)| member.address)
 }
 
@@ -127,7 +127,7 @@
             continue;
         }
         let slow = shared.store_is_slow();
-        let share = if slow { LANES / SLOW_LANES } else { 1 };
+        let share = if slow { LANES / SLOW_STORE_BATCHES } else { 1 };
         // The semaphore is never closed.
         let Ok(lane) = Arc::clone(&lanes).acquire_many_owned(share as u32).await else {
             return;
@@ -144,11 +144,11 @@
 }
 
 /// Who waits for a batch, in the order of its rows.
-type Answers = Vec<oneshot::Sender<Submitted>>;
+type Answers = Vec<oneshot::Sender<SubmitOutcome>>;
 
 async fn write_and_answer(shared: &Arc<Shared>, rows: &Batch, answers: Answers, plan: Plan) {
     let outcome = job_batch::write(shared, rows, plan).await;
-    if outcome != Submitted::Accepted {
+    if outcome != SubmitOutcome::Accepted {
         tracing::info!(jobs = rows.len(), ?plan, ?outcome, "jobs were not written");
     }
     for answer in answers {
@@ -165,7 +165,9 @@
         Ok(NodeReply::Written(outcomes)) => {
             let outcome = outcomes.first().copied();
             // A caller that has left needs no answer.
-            let _ = waiting.answer.send(outcome.unwrap_or(Submitted::Doubtful));
+            let _ = waiting
+                .answer
+                .send(outcome.unwrap_or(SubmitOutcome::Doubtful));
         }
         Err(PeerError::NotSent) => {
             shared.metrics.retry("writer_unreached");
--- a/src/node/job_batch.rs
+++ b/src/node/job_batch.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::node::intake::Submitted;
+use crate::node::intake::SubmitOutcome;
 use crate::node::shared::{JOB_PARTITIONS, Shared, job_partition};
 use crate::store::{RowKey, StoreCall, StoreError, StoreReply, Table, Transaction};
 
@@ -30,9 +30,9 @@
 /// How many at most while the store is slow: two are on their way then, and a job waits
 /// for half of one instead of a whole one.  With one, more jobs found no answer in time
 /// (docs/FINDINGS.md tells of the day).
-pub const SLOW_LANES: usize = 2;
+pub const SLOW_STORE_BATCHES: usize = 2;
 /// How many nodes write while the store is slow; the others hand their jobs on to them.
-pub const MOST_WRITERS: usize = JOB_PARTITIONS / SLOW_LANES;
+pub const MAX_SLOW_STORE_WRITERS: usize = JOB_PARTITIONS / SLOW_STORE_BATCHES;
 /// While the store is slow, another try goes beside an unanswered one only after so many
 /// times the usual patience: it takes the place of other jobs' first tries.
 const SLOW_PATIENCE: u32 = 2;
@@ -63,9 +63,9 @@
         let slow = shared.store_is_slow();
         if slow {
             let (rank, nodes) = shared.rank();
-            let writers = nodes.min(MOST_WRITERS);
+            let writers = nodes.min(MAX_SLOW_STORE_WRITERS);
             return Self {
-                first: rank % writers + writers * (batch % SLOW_LANES),
+                first: rank % writers + writers * (batch % SLOW_STORE_BATCHES),
                 step: writers,
                 slow,
             };
@@ -83,13 +83,13 @@
 }
 
 /// Writes a batch, and while the store leaves it open, again into other partitions.
-pub async fn write(shared: &Arc<Shared>, batch: &Batch, plan: Plan) -> Submitted {
+pub async fn write(shared: &Arc<Shared>, batch: &Batch, plan: Plan) -> SubmitOutcome {
     let until = Instant::now() + SETTLE_FOR;
     let mut writing = Writing::new(shared, batch, plan);
     while Instant::now() < until {
         writing.begin_try();
         match writing.next(until).await {
-            Some(Written::Yes) => return Submitted::Accepted,
+            Some(Written::Yes) => return SubmitOutcome::Accepted,
             Some(Written::Never) => break,
             Some(Written::No | Written::Perhaps) | None => {}
         }
@@ -157,7 +157,7 @@
             return until;
         }
         let times = if self.plan.slow { SLOW_PATIENCE } else { 1 };
-        let patience = self.shared.store_patience() * self.tries.len() as u32 * times;
+        let patience = self.shared.store_timeout() * self.tries.len() as u32 * times;
         until.min(Instant::now() + patience)
     }
 
@@ -177,14 +177,14 @@
     /// Nothing is on its way, and further tries would come to nothing either.
     fn is_hopeless(&self) -> bool {
         let enough = !self.doubt && self.begun >= ENOUGH_TRIES;
-        self.tries.is_empty() && (enough || !self.shared.has_store())
+        self.tries.is_empty() && (enough || !self.shared.can_reach_store())
     }
 
-    fn outcome(&self) -> Submitted {
+    fn outcome(&self) -> SubmitOutcome {
         if self.is_open() {
-            Submitted::Doubtful
+            SubmitOutcome::Doubtful
         } else {
-            Submitted::Refused
+            SubmitOutcome::Refused
         }
     }
 }
@@ -200,9 +200,9 @@
 
 async fn write_once(shared: &Arc<Shared>, call: StoreCall, number: usize) -> Written {
     let reply = if number.is_multiple_of(2) {
-        shared.store_unhurried(call).await
+        shared.store_without_timeout(call).await
     } else {
-        shared.store_elsewhere(call).await
+        shared.store_via_peers(call).await
     };
     match reply {
         Ok(StoreReply::Committed(_)) => Written::Yes,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -5,7 +5,7 @@
 pub mod cleaning;
 pub mod configuration;
 pub mod confirming;
-pub mod early;
+pub mod early_ends;
 pub mod election;
 pub mod engine;
 pub mod following;
--- a/src/node/process.rs
+++ b/src/node/process.rs
@@ -13,7 +13,7 @@
 use crate::clock::SystemClock;
 use crate::error::{Error, Result};
 use crate::metrics::Metrics;
-use crate::node::front::Front;
+use crate::node::front::Frontend;
 use crate::node::load::{self, Load};
 use crate::node::settings::Settings;
 use crate::node::shared::{Identity, Links, Shared};
@@ -32,7 +32,7 @@
 /// A node that runs.
 pub struct Node {
     /// What callers and other nodes see.
-    pub front: Arc<Front>,
+    pub front: Arc<Frontend>,
     /// Carries calls to other nodes; must run inside a `LocalSet`.
     pub driver: rpc::RpcNodeDriver,
 }
@@ -62,13 +62,13 @@
             links(Arc::new(link)),
         );
         Ok(Self {
-            front: Arc::new(Front::new(shared)),
+            front: Arc::new(Frontend::new(shared)),
             driver,
         })
     }
 
     /// Serves other nodes at `peers`, follows the configuration and takes part in ownership.
-    pub fn start(self, peers: TcpListener) -> Arc<Front> {
+    pub fn start(self, peers: TcpListener) -> Arc<Frontend> {
         let shared = &self.front.shared;
         tokio::task::spawn_local(self.driver.run());
         tokio::task::spawn_local(rpc::serve(peers, self.front.clone()));
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// Fails if signals cannot be listened for.
-pub async fn run_until_terminated(front: &Front, reload: impl Fn()) -> std::io::Result<()> {
+pub async fn run_until_terminated(front: &Frontend, reload: impl Fn()) -> std::io::Result<()> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut hangup = unix::signal(unix::SignalKind::hangup())?;
     loop {
@@ -97,7 +97,7 @@
         }
     }
     tracing::info!("node is told to end");
-    front.shared.leave();
+    front.shared.set_leaving();
     tokio::join!(
         election::hand_over(&front.shared),
         tokio::time::sleep(DRAIN_TIME)
--- a/src/node/route.rs
+++ b/src/node/route.rs
@@ -32,11 +32,11 @@
 
 /// How long the answer to a transaction is waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pace {
+pub enum ReplyTimeout {
     /// As long as it can be expected to take; the caller repeats the transaction.
-    Hurried,
+    Adaptive,
     /// As long as the store may take at all; the caller has other tries beside it.
-    Unhurried,
+    ClientOnly,
 }
 
 /// The store of a node.
@@ -120,12 +120,12 @@
         &self,
         shared: &Shared,
         call: StoreCall,
-        pace: Pace,
+        timeout: ReplyTimeout,
     ) -> Result<StoreReply, StoreError> {
         let held = matches!(call, StoreCall::Changes { .. });
         let began = shared.now();
         let reply = match call {
-            StoreCall::Commit(_) => self.commit(shared, call, pace).await,
+            StoreCall::Commit(_) => self.commit(shared, call, timeout).await,
             _ => self.direct.call(call).await,
         };
         if !held {
@@ -144,7 +144,7 @@
         &self,
         shared: &Shared,
         call: StoreCall,
-        pace: Pace,
+        timeout: ReplyTimeout,
     ) -> Result<StoreReply, StoreError> {
         let began = shared.now();
         let _on_its_way = OnItsWay::new(&self.patience, began);
@@ -155,9 +155,9 @@
                 () = self.regained.notified() => Err(StoreError::Unanswered),
             }
         };
-        let reply = match pace {
-            Pace::Hurried => tokio::time::timeout(self.patience(), sent).await,
-            Pace::Unhurried => Ok(sent.await),
+        let reply = match timeout {
+            ReplyTimeout::Adaptive => tokio::time::timeout(self.patience(), sent).await,
+            ReplyTimeout::ClientOnly => Ok(sent.await),
         };
         let now = shared.now();
         match reply {
@@ -198,12 +198,12 @@
         &self,
         shared: &Arc<Shared>,
         call: StoreCall,
-        pace: Pace,
+        timeout: ReplyTimeout,
     ) -> Result<StoreReply, StoreError> {
         if !self.direct_works() {
             return self.call_relayed(shared, &call).await;
         }
-        let direct = self.call_direct(shared, call.clone(), pace).await;
+        let direct = self.call_direct(shared, call.clone(), timeout).await;
         let doubt = match direct {
             Err(StoreError::Unavailable) => false,
             Err(StoreError::Unanswered | StoreError::Malformed) => true,
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -6,14 +6,14 @@
 
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
-use crate::node::early::EarlyEnds;
+use crate::node::early_ends::EarlyEnds;
 use crate::node::engine::Engine;
 use crate::node::halls::HallRows;
 use crate::node::links::{Advisor, Decoder, Workers};
 use crate::node::load::Load;
 use crate::node::members::{Members, NodeRow, Source};
 use crate::node::owner::Owner;
-use crate::node::route::{Pace, RELAY_WINDOW, RoutedStore};
+use crate::node::route::{RELAY_WINDOW, ReplyTimeout, RoutedStore};
 use crate::queue::Configuration;
 use crate::rpc::node::{Beat, NodeLink};
 use crate::store::{StoreCall, StoreError, StoreReply};
@@ -209,12 +209,12 @@
     }
 
     /// The node is about to end.
-    pub fn leave(&self) {
+    pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
     /// Tells whether the node is about to end.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
@@ -251,7 +251,7 @@
     /// # Errors
     /// See [`StoreError`].
     pub async fn store(self: &Arc<Self>, call: StoreCall) -> Result<StoreReply, StoreError> {
-        self.store.call(self, call, Pace::Hurried).await
+        self.store.call(self, call, ReplyTimeout::Adaptive).await
     }
 
     /// Makes a call to the store by any way, and waits for its answer as long as it may
@@ -259,29 +259,29 @@
     ///
     /// # Errors
     /// See [`StoreError`].
-    pub async fn store_unhurried(
+    pub async fn store_without_timeout(
         self: &Arc<Self>,
         call: StoreCall,
     ) -> Result<StoreReply, StoreError> {
-        self.store.call(self, call, Pace::Unhurried).await
+        self.store.call(self, call, ReplyTimeout::ClientOnly).await
     }
 
     /// Makes a call to the store through other nodes, or directly if there are none.
     ///
     /// # Errors
     /// See [`StoreError`].
-    pub async fn store_elsewhere(
+    pub async fn store_via_peers(
         self: &Arc<Self>,
         call: StoreCall,
     ) -> Result<StoreReply, StoreError> {
         match self.store.call_relayed(self, &call).await {
-            Err(StoreError::Unavailable) => self.store_unhurried(call).await,
+            Err(StoreError::Unavailable) => self.store_without_timeout(call).await,
             reply => reply,
         }
     }
 
     /// How long the answer to a transaction can be expected to take at most.
-    pub fn store_patience(&self) -> std::time::Duration {
+    pub fn store_timeout(&self) -> std::time::Duration {
         self.store.patience()
     }
 
@@ -307,7 +307,9 @@
     /// # Errors
     /// See [`StoreError`].
     pub async fn store_direct(self: &Arc<Self>, call: StoreCall) -> Result<StoreReply, StoreError> {
-        self.store.call_direct(self, call, Pace::Unhurried).await
+        self.store
+            .call_direct(self, call, ReplyTimeout::ClientOnly)
+            .await
     }
 
     /// Watches the direct way to the store until the process ends.
@@ -316,7 +318,7 @@
     }
 
     /// Tells whether the store is reached by any way.
-    pub fn has_store(&self) -> bool {
+    pub fn can_reach_store(&self) -> bool {
         let relays = || self.members().relays(self.now(), RELAY_WINDOW);
         self.reaches_store() || !relays().is_empty()
     }
@@ -336,16 +338,16 @@
 
     /// What this node says of itself to the node `name`, with what that one may not know of
     /// others.
-    pub fn beat_for(&self, name: &str) -> Beat {
+    pub fn heartbeat_for(&self, name: &str) -> Beat {
         let changes = self.members().changes_for(name);
         Beat {
             changes,
-            ..self.beat()
+            ..self.heartbeat()
         }
     }
 
     /// What this node says of itself.
-    pub fn beat(&self) -> Beat {
+    pub fn heartbeat(&self) -> Beat {
         let now = self.now();
         let owner = self.owner().clone();
         let engine = self.engine();
@@ -364,7 +366,7 @@
             address: self.address.to_string(),
             epoch: owner.epoch,
             owns: engine.is_some(),
-            leaving: self.leaving(),
+            leaving: self.is_leaving(),
             configuration: self.config_version(),
             reaches_store: self.reaches_store(),
             owner_silence: if engine.is_some() {
@@ -390,11 +392,11 @@
         }
     }
 
-    fn hear_ends(&self, beat: &Beat) {
+    fn apply_ends(&self, beat: &Beat) {
         match self.engine() {
-            _ if beat.owns => self.early_ends().hear(beat),
+            _ if beat.owns => self.early_ends().apply_heartbeat(beat),
             Some(engine) if !beat.ends.is_empty() => {
-                self.early_ends().learn_workspaces(&beat.workspaces);
+                self.early_ends().add_workspaces(&beat.workspaces);
                 engine.accept_peer_ends(&beat.ends);
             }
             _ => {}
@@ -402,7 +404,7 @@
     }
 
     /// The owner of the highest epoch is sure of who is there; all others may be behind.
-    fn hear_of_members(&self, beat: &Beat, now: Millis) {
+    fn apply_members(&self, beat: &Beat, now: Millis) {
         let owner_speaks = beat.owns && beat.epoch >= self.owner().epoch;
         let source = match owner_speaks && self.engine().is_none() {
             true => Source::Authoritative,
@@ -416,10 +418,10 @@
     }
 
     /// Takes in what another node says of itself.
-    pub fn hear(&self, beat: &Beat) {
+    pub fn apply_heartbeat(&self, beat: &Beat) {
         let now = self.now();
-        self.hear_of_members(beat, now);
-        self.hear_ends(beat);
+        self.apply_members(beat, now);
+        self.apply_ends(beat);
         let mut owner = self.owner();
         if beat.owns && beat.epoch >= owner.epoch {
             let news = owner.epoch != beat.epoch || owner.address.is_none();
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Millis;
 use crate::evacuation::Halls;
-use crate::node::front::Front;
+use crate::node::front::Frontend;
 
 /// Another node, as this one knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
     pub queues: Vec<QueueStatus>,
 }
 
-impl Front {
+impl Frontend {
     /// Tells how this node stands.
     pub fn status(&self) -> NodeStatus {
         let shared = &self.shared;
--- a/src/rpc/node.rs
+++ b/src/rpc/node.rs
@@ -11,7 +11,7 @@
 use crate::cell::job::JobState;
 use crate::cell::spec::JobId;
 use crate::clock::Millis;
-use crate::node::intake::Submitted;
+use crate::node::intake::SubmitOutcome;
 use crate::rpc::node_capnp as wire;
 use crate::rpc::{PeerError, transport};
 use crate::workspace::Caller;
@@ -152,7 +152,7 @@
     /// JSON of a [`crate::cell::view::JobView`].
     Explained(Vec<u8>),
     /// What became of each of the rows.
-    Written(Vec<Submitted>),
+    Written(Vec<SubmitOutcome>),
 }
 
 impl NodeCall {
@@ -515,15 +515,15 @@
     })
 }
 
-const OUTCOMES: [Submitted; 5] = [
-    Submitted::Doubtful,
-    Submitted::Accepted,
-    Submitted::Refused,
-    Submitted::BeyondCap,
-    Submitted::IdInUse,
+const OUTCOMES: [SubmitOutcome; 5] = [
+    SubmitOutcome::Doubtful,
+    SubmitOutcome::Accepted,
+    SubmitOutcome::Refused,
+    SubmitOutcome::BeyondCap,
+    SubmitOutcome::IdInUse,
 ];
 
-fn outcome_number(outcome: Submitted) -> u16 {
+fn outcome_number(outcome: SubmitOutcome) -> u16 {
     OUTCOMES
         .iter()
         .position(|&other| other == outcome)
@@ -531,11 +531,11 @@
 }
 
 /// An outcome that is not known here leaves it open whether the row was written.
-fn numbered_outcome(number: u16) -> Submitted {
+fn numbered_outcome(number: u16) -> SubmitOutcome {
     OUTCOMES
         .get(usize::from(number))
         .copied()
-        .unwrap_or(Submitted::Doubtful)
+        .unwrap_or(SubmitOutcome::Doubtful)
 }
 
 const STATES: [JobState; 5] = [
--- a/tests/asked_at_the_end.rs
+++ b/tests/asked_at_the_end.rs
@@ -18,7 +18,7 @@
 use crossweir::embedded::PlainDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::engine::Engine;
-use crossweir::node::front::{Front, Told};
+use crossweir::node::front::{Frontend, JobAnswer};
 use crossweir::node::shared::job_partition;
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use crossweir::workspace::Caller;
@@ -33,7 +33,7 @@
 struct Bed {
     node: VirtualNode,
     engine: Arc<Engine>,
-    front: Front,
+    front: Frontend,
 }
 
 /// A node that owns a cell of two workers.
@@ -51,7 +51,7 @@
     let (address, now) = (node.shared.address, node.shared.now());
     node.shared.owner().note_heartbeat(1, Some(address), now);
     pass(1_000).await;
-    let front = Front::new(Arc::clone(&node.shared));
+    let front = Frontend::new(Arc::clone(&node.shared));
     Bed {
         node,
         engine,
@@ -77,7 +77,7 @@
 }
 
 /// Asks for the job's state; tells it and how long the answer took.
-async fn ask(bed: &Bed, row: &JobRow) -> (Told, Millis) {
+async fn ask(bed: &Bed, row: &JobRow) -> (JobAnswer, Millis) {
     let began = Instant::now();
     let told = bed.front.state(&Caller::Anonymous, row.id, LEFT).await;
     (told, began.elapsed().as_millis() as Millis)
@@ -94,7 +94,11 @@
     let (told, took) = ask(&bed, &row).await;
 
     // Assert.
-    assert_eq!(told, Told::State(JobState::Succeeded), "after {took} ms");
+    assert_eq!(
+        told,
+        JobAnswer::State(JobState::Succeeded),
+        "after {took} ms"
+    );
     assert!(took <= WAIT, "{took} ms");
 }
 
@@ -103,7 +107,7 @@
     let bed = owner().await;
     let row = start(&bed, 1, 5_000).await;
     let (told, took) = ask(&bed, &row).await;
-    assert_eq!(told, Told::State(JobState::Running));
+    assert_eq!(told, JobAnswer::State(JobState::Running));
     assert!(took <= WAIT, "{took} ms");
 }
 
@@ -117,14 +121,14 @@
     let (told, took) = ask(&bed, &row).await;
 
     // Assert.
-    assert_eq!((told, took), (Told::State(JobState::Running), 0));
+    assert_eq!((told, took), (JobAnswer::State(JobState::Running), 0));
 }
 
 /// The other node hears the owner ten times a second and answers.
 async fn pass_with_witness(bed: &Bed, time: Millis) {
     for _ in 0..time / 20 {
         pass(20).await;
-        let beat = bed.node.shared.beat();
+        let beat = bed.node.shared.heartbeat();
         bed.engine.mark_ends_known_to_peer(&beat.ends);
     }
 }
@@ -141,7 +145,7 @@
     let (told, _) = ask(&bed, &row).await;
 
     // Assert.
-    assert_eq!(told, Told::State(JobState::Succeeded));
+    assert_eq!(told, JobAnswer::State(JobState::Succeeded));
     assert!(!bed.engine.is_end_recorded(row.id));
 }
 
@@ -155,7 +159,10 @@
 
     // Act, assert.
     let (told, took) = ask(&bed, &row).await;
-    assert_eq!(told, Told::State(JobState::Running));
+    assert_eq!(told, JobAnswer::State(JobState::Running));
     assert!(took <= WAIT, "{took} ms");
-    assert_eq!(bed.node.shared.beat().ends, [(row.id, JobState::Succeeded)]);
+    assert_eq!(
+        bed.node.shared.heartbeat().ends,
+        [(row.id, JobState::Succeeded)]
+    );
 }
--- a/tests/confirming.rs
+++ b/tests/confirming.rs
@@ -37,7 +37,7 @@
     /// believe that they reach the store.
     fn hear(&self, relays: &[Relay]) {
         for (place, relay) in relays.iter().enumerate() {
-            self.node.shared.hear(&Beat {
+            self.node.shared.apply_heartbeat(&Beat {
                 name: format!("n{}", place + 1),
                 boot: 1,
                 address: format!("127.0.0.1:{}", place + 1),
--- a/tests/early_ends.rs
+++ b/tests/early_ends.rs
@@ -6,8 +6,8 @@
 
 use crossweir::cell::job::JobState;
 use crossweir::cell::spec::JobId;
-use crossweir::node::early::EarlyEnds;
-use crossweir::node::front::{Front, Told};
+use crossweir::node::early_ends::EarlyEnds;
+use crossweir::node::front::{Frontend, JobAnswer};
 use crossweir::rpc::node::Beat;
 use crossweir::workspace::Caller;
 use virtual_node::virtual_node;
@@ -26,9 +26,9 @@
 #[test]
 fn an_end_is_forgotten_when_its_owner_has_recorded_it() {
     let mut early = EarlyEnds::default();
-    early.hear(&owner(1, &[END]));
+    early.apply_heartbeat(&owner(1, &[END]));
     assert_eq!(early.state(END.0), Some(JobState::Succeeded));
-    early.hear(&owner(1, &[]));
+    early.apply_heartbeat(&owner(1, &[]));
     assert_eq!(early.state(END.0), None);
 }
 
@@ -36,14 +36,14 @@
 fn an_end_is_kept_until_a_successor_has_been_told_of_it() {
     // Arrange.
     let mut early = EarlyEnds::default();
-    early.hear(&owner(1, &[END]));
+    early.apply_heartbeat(&owner(1, &[END]));
 
     // Act: the answer to the successor's first heartbeat tells of it.
-    early.hear(&owner(2, &[]));
+    early.apply_heartbeat(&owner(2, &[]));
     let told = early.unknown_to(2);
-    early.hear(&owner(1, &[]));
+    early.apply_heartbeat(&owner(1, &[]));
     let after_a_late_word = early.state(END.0);
-    early.hear(&owner(2, &[]));
+    early.apply_heartbeat(&owner(2, &[]));
 
     // Assert.
     assert_eq!(told, [END]);
@@ -55,7 +55,7 @@
 #[test]
 fn an_end_is_told_to_callers_of_its_workspace_only() {
     let mut early = EarlyEnds::default();
-    early.hear(&Beat {
+    early.apply_heartbeat(&Beat {
         workspaces: vec![(END.0, String::from("team"))],
         ..owner(1, &[END, (JobId(2), JobState::Failed)])
     });
@@ -72,13 +72,13 @@
 async fn a_node_without_an_owner_does_not_tell_another_workspace_of_an_end() {
     // Arrange: the owner has told of an end and is gone.
     let node = virtual_node(&[]);
-    node.shared.hear(&Beat {
+    node.shared.apply_heartbeat(&Beat {
         name: String::from("n1"),
         address: String::from("127.0.0.1:1"),
         workspaces: vec![(END.0, String::from("team"))],
         ..owner(16, &[END])
     });
-    let front = Front::new(Arc::clone(&node.shared));
+    let front = Frontend::new(Arc::clone(&node.shared));
 
     // Act
     let ask = |name: &str| Caller::Workspace(name.to_owned());
@@ -86,6 +86,6 @@
     let anothers = front.state(&ask("other"), END.0, None).await;
 
     // Assert
-    assert_eq!(own, Told::State(JobState::Succeeded));
-    assert_eq!(anothers, Told::Unknown);
+    assert_eq!(own, JobAnswer::State(JobState::Succeeded));
+    assert_eq!(anothers, JobAnswer::Unknown);
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -72,20 +72,20 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_that_never_heard_the_owner_does_not_speak_for_it() {
     let node = virtual_node(&[Relay::Gone]);
-    node.shared.hear(&started_beat());
-    let beat = node.shared.beat();
+    node.shared.apply_heartbeat(&started_beat());
+    let beat = node.shared.heartbeat();
     assert_eq!((beat.epoch, beat.owner_silence), (5, u64::MAX));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_node_speaks_for_an_owner_that_it_has_heard() {
     let node = virtual_node(&[Relay::Gone]);
-    node.shared.hear(&Beat {
+    node.shared.apply_heartbeat(&Beat {
         owns: true,
         ..started_beat()
     });
     tokio::time::sleep(Duration::from_millis(120)).await;
-    assert!(node.shared.beat().owner_silence <= 120);
+    assert!(node.shared.heartbeat().owner_silence <= 120);
 }
 
 /// Milliseconds until the node, alone with a store, owns the cell.
@@ -113,7 +113,7 @@
     let node = virtual_node_of(100, &[]);
     time_to_claim(&node).await;
     for _ in 0..50 {
-        node.shared.hear(&Beat {
+        node.shared.apply_heartbeat(&Beat {
             strength,
             epoch: tuning::next_epoch(0),
             ..started_beat()
@@ -144,8 +144,8 @@
         owns: true,
         ..started_beat()
     };
-    node.shared.hear(&owning);
-    node.shared.hear(&Beat {
+    node.shared.apply_heartbeat(&owning);
+    node.shared.apply_heartbeat(&Beat {
         owns: false,
         ..owning
     });
@@ -162,7 +162,7 @@
 
     // Act: a far stronger node is heard for some seconds.
     for _ in 0..50 {
-        node.shared.hear(&Beat {
+        node.shared.apply_heartbeat(&Beat {
             strength: 500,
             epoch: tuning::next_epoch(0),
             ..started_beat()
@@ -188,7 +188,7 @@
     tx.puts.push((OwnerRow::key(), row.write()));
     node.store.commit(&tx);
     for owns in [true, false] {
-        node.shared.hear(&Beat {
+        node.shared.apply_heartbeat(&Beat {
             owns,
             epoch,
             ..started_beat()
@@ -220,12 +220,12 @@
 async fn a_former_owner_that_has_started_again_does_not_end_the_wait_for_a_claim() {
     // Arrange: an owner was heard, and then a node that claims the cell from it.
     let node = virtual_node(&[Relay::Gone, Relay::Gone]);
-    node.shared.hear(&Beat {
+    node.shared.apply_heartbeat(&Beat {
         owns: true,
         ..started_beat()
     });
     tokio::time::sleep(Duration::from_millis(600)).await;
-    node.shared.hear(&Beat {
+    node.shared.apply_heartbeat(&Beat {
         name: String::from("n2"),
         address: String::from("127.0.0.1:2"),
         claim_age: Some(0),
@@ -233,7 +233,7 @@
     });
 
     // Act: the former owner is back, and owns nothing any more.
-    node.shared.hear(&Beat {
+    node.shared.apply_heartbeat(&Beat {
         boot: 2,
         ..started_beat()
     });
@@ -247,7 +247,7 @@
 async fn a_claim_whose_answer_is_late_is_not_written_again() {
     // Arrange: a store that takes 700 ms for each answer.
     let node = virtual_node(&[Relay::Works]);
-    node.shared.hear(&started_beat());
+    node.shared.apply_heartbeat(&started_beat());
     node.guarded.delay.store(700, Ordering::Relaxed);
 
     // Act: a claim through another node would be the second one.
--- a/tests/forgotten_nodes.rs
+++ b/tests/forgotten_nodes.rs
@@ -19,7 +19,7 @@
     let engine = engine.expect("the cell loads");
     node.shared.set_engine(Some(Arc::clone(&engine)));
     for place in 1..=2 {
-        node.shared.hear(&Beat {
+        node.shared.apply_heartbeat(&Beat {
             name: format!("n{place}"),
             boot: 1,
             address: format!("127.0.0.1:{place}"),
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -10,8 +10,8 @@
 
 use cell_core::{queue, step};
 use crossweir::cell::spec::{JobId, JobSpec};
-use crossweir::node::front::{Front, Told};
-use crossweir::node::intake::Submitted;
+use crossweir::node::front::{Frontend, JobAnswer};
+use crossweir::node::intake::SubmitOutcome;
 use crossweir::node::shared::{JOB_PARTITIONS, job_partition};
 use crossweir::rpc::node::Beat;
 use crossweir::store::{Store, StoreCall, StoreError, StoreReply, Table, Transaction};
@@ -29,10 +29,10 @@
     }
 }
 
-fn front_with_a_silent_store() -> Front {
+fn front_with_a_silent_store() -> Frontend {
     let node = virtual_node(&[]);
     node.guarded.silent.store(true, Ordering::Relaxed);
-    Front::new(node.shared)
+    Frontend::new(node.shared)
 }
 
 #[tokio::test(start_paused = true)]
@@ -53,7 +53,7 @@
         .await;
 
     // Assert.
-    assert_eq!(outcome, Submitted::Doubtful);
+    assert_eq!(outcome, SubmitOutcome::Doubtful);
     assert!(began.elapsed().as_millis() < u128::from(LEFT / 2));
 }
 
@@ -62,7 +62,7 @@
     // Arrange: a store that takes 1.1 s for each answer, as the node has seen.
     let node = virtual_node(&[]);
     node.guarded.delay.store(1_100, Ordering::Relaxed);
-    let front = Arc::new(Front::new(node.shared));
+    let front = Arc::new(Frontend::new(node.shared));
     let first = Arc::clone(&front);
     let earlier = tokio::spawn(async move {
         first
@@ -83,7 +83,7 @@
         .await;
 
     // Assert.
-    assert_eq!(outcome, Submitted::Accepted);
+    assert_eq!(outcome, SubmitOutcome::Accepted);
 }
 
 #[tokio::test(start_paused = true)]
@@ -91,7 +91,7 @@
     let front = front_with_a_silent_store();
     let began = Instant::now();
     let told = front.state(&Caller::Anonymous, JobId(1), Some(LEFT)).await;
-    assert_eq!(told, Told::Unavailable);
+    assert_eq!(told, JobAnswer::Unavailable);
     assert!(began.elapsed().as_millis() < u128::from(LEFT / 2));
 }
 
@@ -100,13 +100,13 @@
     // Arrange: a node that is used to a fast store.
     let node = virtual_node(&[]);
     let guarded = Arc::clone(&node.guarded);
-    let front = Front::new(node.shared);
+    let front = Frontend::new(node.shared);
     let q = queue("q", 0);
     for id in 1..20 {
         let outcome = front
             .submit(&Caller::Anonymous, &q, JobId(id), spec(), None)
             .await;
-        assert_eq!(outcome, Submitted::Accepted);
+        assert_eq!(outcome, SubmitOutcome::Accepted);
     }
 
     // Act: every answer takes 500 ms from now on, and the caller has 2 s left.
@@ -116,22 +116,22 @@
         .await;
 
     // Assert.
-    assert_eq!(outcome, Submitted::Accepted);
+    assert_eq!(outcome, SubmitOutcome::Accepted);
 }
 
 /// Whether a job is accepted while the store takes 600 ms for each answer, at the last by
 /// name of so many nodes, and how many rows were handed to others.
-async fn submit_to_slow_store(others: u16) -> (Submitted, usize) {
+async fn submit_to_slow_store(others: u16) -> (SubmitOutcome, usize) {
     let node = virtual_node(&vec![Relay::Works; usize::from(others)]);
     for number in 1..=others {
-        node.shared.hear(&Beat {
+        node.shared.apply_heartbeat(&Beat {
             name: format!("a{number:02}"),
             address: format!("127.0.0.1:{number}"),
             ..Beat::default()
         });
     }
     node.guarded.delay.store(600, Ordering::Relaxed);
-    let front = Arc::new(Front::new(Arc::clone(&node.shared)));
+    let front = Arc::new(Frontend::new(Arc::clone(&node.shared)));
     let first = Arc::clone(&front);
     tokio::spawn(async move {
         first
@@ -147,12 +147,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn of_many_nodes_some_write_for_all_while_the_store_is_slow() {
-    assert_eq!(submit_to_slow_store(12).await, (Submitted::Accepted, 1));
+    assert_eq!(submit_to_slow_store(12).await, (SubmitOutcome::Accepted, 1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn few_nodes_write_for_themselves_while_the_store_is_slow() {
-    assert_eq!(submit_to_slow_store(11).await, (Submitted::Accepted, 0));
+    assert_eq!(submit_to_slow_store(11).await, (SubmitOutcome::Accepted, 0));
 }
 
 /// In which partitions rows of jobs lie, with how many.
@@ -180,14 +180,14 @@
     // Arrange: the first by name of four nodes, and a store that takes 600 ms.
     let node = virtual_node(&[]);
     for name in ["n1", "n2", "n3"] {
-        node.shared.hear(&Beat {
+        node.shared.apply_heartbeat(&Beat {
             name: name.to_owned(),
             address: String::from("127.0.0.1:1"),
             ..Beat::default()
         });
     }
     node.guarded.delay.store(600, Ordering::Relaxed);
-    let front = Arc::new(Front::new(Arc::clone(&node.shared)));
+    let front = Arc::new(Frontend::new(Arc::clone(&node.shared)));
 
     // Act: jobs come every 50 ms; those of the first 100 ms cannot know how slow it is.
     for id in 0..40 {
@@ -214,7 +214,7 @@
     let node = virtual_node(&[Relay::Works]);
     node.hear_other();
     node.guarded.silent.store(true, Ordering::Relaxed);
-    let front = Front::new(node.shared);
+    let front = Frontend::new(node.shared);
 
     // Act.
     let outcome = front
@@ -228,7 +228,7 @@
         .await;
 
     // Assert.
-    assert_eq!(outcome, Submitted::Accepted);
+    assert_eq!(outcome, SubmitOutcome::Accepted);
 }
 
 #[tokio::test(start_paused = true)]
@@ -237,7 +237,7 @@
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
     node.guarded.silent.store(true, Ordering::Relaxed);
-    let front = Arc::new(Front::new(Arc::clone(&node.shared)));
+    let front = Arc::new(Frontend::new(Arc::clone(&node.shared)));
     for id in 1..=3 {
         let front = Arc::clone(&front);
         tokio::spawn(async move {
@@ -259,7 +259,7 @@
 
     // Assert.
     assert_eq!(lost, Err(StoreError::Unanswered));
-    assert_eq!(outcome, Submitted::Refused);
+    assert_eq!(outcome, SubmitOutcome::Refused);
     assert!(began.elapsed() < Duration::from_millis(50));
 }
 
@@ -269,7 +269,7 @@
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
     node.guarded.lossy.store(true, Ordering::Relaxed);
-    let front = Front::new(Arc::clone(&node.shared));
+    let front = Frontend::new(Arc::clone(&node.shared));
 
     // Act.
     let began = Instant::now();
@@ -278,6 +278,6 @@
         .await;
 
     // Assert.
-    assert_eq!(outcome, Submitted::Doubtful);
+    assert_eq!(outcome, SubmitOutcome::Doubtful);
     assert!(began.elapsed() < Duration::from_millis(200));
 }
--- a/tests/told_configuration.rs
+++ b/tests/told_configuration.rs
@@ -54,7 +54,7 @@
 fn hear(node: &VirtualNode, version: u64) {
     for number in 1..=OTHERS {
         let owns = number == OTHERS;
-        node.shared.hear(&Beat {
+        node.shared.apply_heartbeat(&Beat {
             name: format!("a{number:02}"),
             boot: 1,
             address: format!("127.0.0.1:{number}"),
--- a/tests/virtual_cell/mod.rs
+++ b/tests/virtual_cell/mod.rs
@@ -11,7 +11,7 @@
 use crossweir::embedded::store::MemoryStore;
 use crossweir::metrics::Metrics;
 use crossweir::node::election;
-use crossweir::node::front::Front;
+use crossweir::node::front::Frontend;
 use crossweir::node::links::Decoder;
 use crossweir::node::load::Load;
 use crossweir::node::recording::OwnerRow;
@@ -41,13 +41,13 @@
 /// Carries calls between nodes, and counts them.
 #[derive(Default)]
 pub struct Network {
-    nodes: Mutex<HashMap<SocketAddr, Weak<Front>>>,
+    nodes: Mutex<HashMap<SocketAddr, Weak<Frontend>>>,
     calls: AtomicU64,
     bytes: AtomicU64,
 }
 
 impl Network {
-    fn nodes(&self) -> MutexGuard<'_, HashMap<SocketAddr, Weak<Front>>> {
+    fn nodes(&self) -> MutexGuard<'_, HashMap<SocketAddr, Weak<Frontend>>> {
         self.nodes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -157,7 +157,7 @@
 
 /// One node of the cell.
 pub struct Member {
-    pub front: Arc<Front>,
+    pub front: Arc<Frontend>,
     pub door: Arc<Door>,
     tasks: Vec<AbortHandle>,
 }
@@ -235,7 +235,7 @@
             Metrics::new().expect("collectors"),
             links,
         );
-        let front = Arc::new(Front::new(Arc::clone(&shared)));
+        let front = Arc::new(Frontend::new(Arc::clone(&shared)));
         self.network.nodes().insert(address, Arc::downgrade(&front));
         let tasks = vec![
             tokio::spawn(Arc::clone(&shared).probe_store()).abort_handle(),
--- a/tests/virtual_node/mod.rs
+++ b/tests/virtual_node/mod.rs
@@ -13,7 +13,7 @@
 use crossweir::clock::{Clock, Millis};
 use crossweir::embedded::store::MemoryStore;
 use crossweir::metrics::Metrics;
-use crossweir::node::intake::Submitted;
+use crossweir::node::intake::SubmitOutcome;
 use crossweir::node::links::{DecodeError, Decoder, Workers};
 use crossweir::node::load::Load;
 use crossweir::node::recording::OwnerRow;
@@ -125,7 +125,10 @@
                 NodeCall::Configuration(above) => return Ok(self.give_configuration(above)),
                 NodeCall::Write(rows) if relay == Relay::Works => {
                     self.written.fetch_add(rows.len(), Ordering::Relaxed);
-                    return Ok(NodeReply::Written(vec![Submitted::Accepted; rows.len()]));
+                    return Ok(NodeReply::Written(vec![
+                        SubmitOutcome::Accepted;
+                        rows.len()
+                    ]));
                 }
                 _ => return Ok(NodeReply::Unavailable),
             };
@@ -218,7 +221,7 @@
 impl VirtualNode {
     /// Another node tells that it reaches the store.
     pub fn hear_other(&self) {
-        self.shared.hear(&Beat {
+        self.shared.apply_heartbeat(&Beat {
             name: String::from("n1"),
             boot: 1,
             address: String::from("127.0.0.1:1"),
