--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -9,10 +9,10 @@
 
 use crate::cell::view::JobView;
 use crate::cli::exit::CliError;
-use crate::http::answer::Failure;
-use crate::http::api::{Accepted, Changed, PolicyChange, PolicyView};
-use crate::http::client::{Answer, CallError, HttpClient};
+use crate::http::api::{Accepted, PolicyChange, PolicyVersion, PolicyView};
+use crate::http::client::{CallError, FullResponse, HttpClient};
 use crate::http::operator::TOKEN_HEADER;
+use crate::http::response::ErrorBody;
 use crate::node::status::NodeStatus;
 
 /// How long a call may take.
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// See [`CliError`].
-    pub async fn set_policy(&self, change: &PolicyChange) -> Result<Changed, CliError> {
+    pub async fn set_policy(&self, change: &PolicyChange) -> Result<PolicyVersion, CliError> {
         self.json(Method::PUT, POLICY, to_json(change)?).await
     }
 
@@ -114,15 +114,20 @@
         answer.json().map_err(|source| self.call_error(source))
     }
 
-    async fn raw(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Answer, CliError> {
+    async fn raw(
+        &self,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<FullResponse, CliError> {
         let url = format!("http://{}{path}", self.address);
         let answer = self.http.call(method, &url, &self.headers, body, TIMEOUT);
         let answer = answer.await;
         answer.map_err(|source| self.call_error(source))
     }
 
-    fn failure(&self, answer: &Answer) -> CliError {
-        match answer.json::<Failure>() {
+    fn failure(&self, answer: &FullResponse) -> CliError {
+        match answer.json::<ErrorBody>() {
             Ok(failure) => CliError::Answered { failure },
             Err(source) => self.call_error(source),
         }
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::path::PathBuf;
 
-use crate::http::answer::Failure;
 use crate::http::client::CallError;
+use crate::http::response::ErrorBody;
 
 /// The exit codes, as `docs/OPERATIONS.md` lists them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,7 +60,7 @@
     #[error("{}: {}\n  {}", failure.code, failure.message, failure.remedy)]
     Answered {
         /// What the node said.
-        failure: Failure,
+        failure: ErrorBody,
     },
 }
 
--- a/src/http/api.rs
+++ b/src/http/api.rs
@@ -18,7 +18,7 @@
 use crate::cell::spec::{JobId, JobSpec, SpecError};
 use crate::cell::view::JobView;
 use crate::http::operator::OperatorToken;
-use crate::http::{answer, body, keys, server};
+use crate::http::{body, keys, response, server};
 use crate::node::front::{Frontend, JobAnswer, RETRY_AFTER};
 use crate::node::intake::SubmitOutcome;
 use crate::node::policy::{self, Change, PolicyRow};
@@ -76,7 +76,7 @@
 
 /// The version that a change brought into force.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Changed {
+pub struct PolicyVersion {
     /// The version.
     pub version: Version,
 }
@@ -134,7 +134,7 @@
             let code = rejection.refusal.code();
             tracing::info!(reason = code, detail = rejection.detail, "call refused");
             self.front.shared.metrics.refusal(code);
-            answer::refusal(rejection.refusal, rejection.detail, RETRY_AFTER)
+            response::refusal(rejection.refusal, rejection.detail, RETRY_AFTER)
         })
     }
 
@@ -148,7 +148,7 @@
             (&Method::GET, ["v1", "jobs", id]) => self.explain(&parts.headers, id.parse()?).await,
             (&Method::DELETE, ["v1", "jobs", id]) => self.cancel(&parts.headers, id.parse()?).await,
             (&Method::GET, ["v1", "status"]) => {
-                Ok(answer::json(StatusCode::OK, &self.front.status()))
+                Ok(response::json(StatusCode::OK, &self.front.status()))
             }
             (method, ["v1", "operator", "policy"]) => {
                 self.policy(method, &parts.headers, body).await
@@ -159,7 +159,7 @@
 
     fn health(&self) -> Result<Response, Rejection> {
         if self.front.is_ready() {
-            Ok(answer::json(
+            Ok(response::json(
                 StatusCode::OK,
                 &serde_json::json!({"ready": true}),
             ))
@@ -170,7 +170,7 @@
 
     fn metrics(&self) -> Result<Response, Rejection> {
         match self.front.shared.render_metrics() {
-            Ok(text) => Ok(answer::text(StatusCode::OK, "text/plain", text)),
+            Ok(text) => Ok(response::text(StatusCode::OK, "text/plain", text)),
             Err(err) => {
                 tracing::error!(%err, "metrics cannot be rendered");
                 Err(Refusal::Internal.into())
@@ -188,7 +188,7 @@
         if self.token.admits(headers) {
             return Ok(Caller::Operator);
         }
-        server::caller(config, is_public, headers).map_err(|err| Refusal::from(err).into())
+        server::identify_caller(config, is_public, headers).map_err(|err| Refusal::from(err).into())
     }
 
     /// Who asks about a job, of which the queue is not known yet.
@@ -221,10 +221,10 @@
     async fn explain(&self, headers: &HeaderMap, id: JobId) -> Result<Response, Rejection> {
         let caller = self.asker(headers)?;
         match self.front.explain(&caller, id).await {
-            Ok(view) => Ok(answer::json(StatusCode::OK, &view)),
+            Ok(view) => Ok(response::json(StatusCode::OK, &view)),
             Err(JobAnswer::State(state)) => {
                 let view = JobView::of_state(id, state);
-                Ok(answer::json(StatusCode::OK, &view))
+                Ok(response::json(StatusCode::OK, &view))
             }
             Err(JobAnswer::Unknown) => Err(Refusal::NoSuchJob.into()),
             Err(JobAnswer::Cancelled | JobAnswer::Unavailable) => {
@@ -268,7 +268,7 @@
             source: row.source,
             note: row.note,
         };
-        Ok(answer::json(StatusCode::OK, &view))
+        Ok(response::json(StatusCode::OK, &view))
     }
 
     async fn set_policy(&self, body: Body) -> Result<Response, Rejection> {
@@ -282,7 +282,7 @@
             note: change.note,
         };
         match policy::set(&self.front.shared, &row, change.expected).await {
-            Change::Set(version) => Ok(answer::json(StatusCode::OK, &Changed { version })),
+            Change::Set(version) => Ok(response::json(StatusCode::OK, &PolicyVersion { version })),
             Change::Conflict => Err(Refusal::VersionConflict.into()),
             Change::Unavailable => Err(Refusal::StoreUnavailable.into()),
             Change::Unconfirmed => Err(Refusal::Unconfirmed.into()),
@@ -311,5 +311,5 @@
 }
 
 fn accepted(id: JobId) -> Response {
-    answer::json(StatusCode::OK, &Accepted { id: id.to_string() })
+    response::json(StatusCode::OK, &Accepted { id: id.to_string() })
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -54,7 +54,7 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct FullResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -63,7 +63,7 @@
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl FullResponse {
     /// Reads the body as JSON.
     ///
     /// # Errors
@@ -118,7 +118,7 @@
     }
 
     /// How many connections there are.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.idle.limits.total - self.idle.room.available_permits()
     }
 
@@ -134,7 +134,7 @@
         headers: &[(&'static str, String)],
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<FullResponse, CallError> {
         let (host, req) = request(method, url, headers, body)?;
         let until = Instant::now() + timeout;
         let turn = tokio::time::timeout_at(until, self.idle.turn(&host)).await;
@@ -154,7 +154,7 @@
         url: &str,
         value: &T,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<FullResponse, CallError> {
         let body = serde_json::to_vec(value).map_err(|_| CallError::NotSent)?;
         let headers = [(
             header::CONTENT_TYPE.as_str(),
@@ -168,7 +168,7 @@
         host: &str,
         mut connection: Connection,
         req: Outgoing,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<FullResponse, CallError> {
         let mut doubt = Doubt::new(&self.idle, host);
         let sent = connection.sender.try_send_request(req).await;
         let response = sent.map_err(|mut err| match err.take_message() {
@@ -249,13 +249,13 @@
     Ok(sender)
 }
 
-async fn read(response: Response<Incoming>) -> Result<Answer, CallError> {
+async fn read(response: Response<Incoming>) -> Result<FullResponse, CallError> {
     let (parts, body) = response.into_parts();
     let body = Limited::new(body, MAX_ANSWER)
         .collect()
         .await
         .map_err(|_| CallError::Unanswered)?;
-    Ok(Answer {
+    Ok(FullResponse {
         status: parts.status,
         headers: parts.headers,
         body: body.to_bytes().to_vec(),
--- a/src/http/answer.rs
+++ b/src/http/response.rs
@@ -11,7 +11,7 @@
 
 /// The body of every answer that is not a success.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Failure {
+pub struct ErrorBody {
     /// The stable code.
     pub code: String,
     /// What is wrong, for a person.
@@ -51,7 +51,7 @@
 }
 
 /// Says when to come back; the header counts whole seconds.
-pub fn retry_after(response: &mut Response, pause: Millis) {
+pub fn set_retry_after(response: &mut Response, pause: Millis) {
     response.headers_mut().insert(
         header::RETRY_AFTER,
         HeaderValue::from(pause.div_ceil(1_000)),
@@ -59,7 +59,7 @@
 }
 
 /// Says how a caller names itself.
-pub fn ask_for_key(response: &mut Response) {
+pub fn set_www_authenticate(response: &mut Response) {
     response
         .headers_mut()
         .insert(header::WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
@@ -73,7 +73,7 @@
     } else {
         "unknown"
     };
-    let failure = Failure {
+    let failure = ErrorBody {
         code: description.code.to_owned(),
         message: detail.unwrap_or_else(|| description.meaning.to_owned()),
         remedy: description.remedy.to_owned(),
@@ -84,10 +84,10 @@
         StatusCode::from_u16(description.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = json(status, &failure);
     if description.again {
-        retry_after(&mut response, pause);
+        set_retry_after(&mut response, pause);
     }
     if matches!(refusal, Refusal::NoKey | Refusal::WrongKey) {
-        ask_for_key(&mut response);
+        set_www_authenticate(&mut response);
     }
     response
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Fails if the caller needs a key and has none that is known.
-pub fn caller(
+pub fn identify_caller(
     config: &Configuration,
     is_public: bool,
     headers: &HeaderMap,
--- a/src/node/early_ends.rs
+++ b/src/node/early_ends.rs
@@ -8,7 +8,7 @@
 
 use crate::cell::job::JobState;
 use crate::cell::spec::JobId;
-use crate::rpc::node::Beat;
+use crate::rpc::node::Heartbeat;
 use crate::workspace::Caller;
 
 /// The ends that a node was told of.
@@ -27,7 +27,7 @@
     /// Takes in an owner's heartbeat, which names all ends that it could not record.
     ///
     /// What a former owner told is kept until its successor has had an answer from us.
-    pub fn apply_heartbeat(&mut self, beat: &Beat) {
+    pub fn apply_heartbeat(&mut self, beat: &Heartbeat) {
         if beat.epoch < self.epoch {
             return;
         }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -22,7 +22,7 @@
 use crate::node::owner;
 use crate::node::recording::{OWNER_KEY, OwnerRow};
 use crate::node::shared::{NODES_PARTITION, PARTITION, Shared};
-use crate::rpc::node::{Beat, NodeCall, NodeReply};
+use crate::rpc::node::{Heartbeat, NodeCall, NodeReply};
 use crate::store::{self, RowKey, StoreCall, StoreError, StoreReply, Table, Transaction, Version};
 
 /// Time limit for other nodes to report whether they hear a silent owner, in milliseconds.  They
@@ -162,7 +162,7 @@
 }
 
 /// Exchanges heartbeats with the owner that other nodes report, if this node has not heard it.
-async fn find_owner(shared: &Arc<Shared>, beats: &[Beat]) {
+async fn find_owner(shared: &Arc<Shared>, beats: &[Heartbeat]) {
     let epoch = {
         let owner = shared.owner();
         if !owner.is_suspect(shared.now()) {
@@ -187,9 +187,9 @@
 pub(super) async fn exchange(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    beat: Beat,
+    beat: Heartbeat,
     timeout: Millis,
-) -> Option<Beat> {
+) -> Option<Heartbeat> {
     let call = NodeCall::Beat(beat);
     let asked = shared.now();
     match shared.peers.call(address, call, timeout).await {
@@ -207,7 +207,7 @@
     shared: &Arc<Shared>,
     addresses: Vec<SocketAddr>,
     timeout: Millis,
-) -> Vec<Beat> {
+) -> Vec<Heartbeat> {
     let beat = shared.heartbeat();
     let exchanges = addresses
         .into_iter()
@@ -319,7 +319,7 @@
 }
 
 /// Exchanges heartbeats with the watchers; if none of them answers, with some other nodes.
-async fn ask_candidates(shared: &Arc<Shared>) -> Vec<Beat> {
+async fn ask_candidates(shared: &Arc<Shared>) -> Vec<Heartbeat> {
     let candidates = shared.members().candidates();
     for sample in candidates.chunks(members::WATCHERS).take(MAX_SAMPLES) {
         let beats = exchange_all(shared, sample.to_vec(), POLL_TIMEOUT).await;
@@ -367,7 +367,7 @@
 /// The number of candidates that go before this node: those that reach the store and are stronger,
 /// or as strong with a lower name.  A node that does not reach the store directly waits one place
 /// longer.
-fn rank_among(shared: &Shared, beats: &[Beat]) -> u32 {
+fn rank_among(shared: &Shared, beats: &[Heartbeat]) -> u32 {
     let ours = (Reverse(shared.load.strength()), shared.name.as_str());
     let before = beats
         .iter()
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -25,7 +25,7 @@
 use crate::node::roster_rows::RosterRows;
 use crate::node::shared::Shared;
 use crate::node::summary::Summary;
-use crate::rpc::node::{NodeReply, Question};
+use crate::rpc::node::{JobRequest, NodeReply};
 use crate::store::Version;
 
 /// Scheduling runs at least so often, for leases and retries.
@@ -309,13 +309,13 @@
     }
 
     /// Tells whether whoever asks may know of the job, as far as it is known whose it is.
-    pub fn may_see(&self, asked: &Question) -> bool {
+    pub fn may_see(&self, asked: &JobRequest) -> bool {
         let may_see_end = self.shared.early_ends().may_see(&asked.caller, asked.job);
         may_see_end && self.cell().may_see(&asked.caller, asked.job)
     }
 
     /// Cancels a job and waits until that is recorded.
-    pub async fn cancel(&self, asked: &Question) -> NodeReply {
+    pub async fn cancel(&self, asked: &JobRequest) -> NodeReply {
         let id = asked.job;
         let mut decided = self.cell().cancel(id);
         if decided == CancelOutcome::Unknown {
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -17,7 +17,7 @@
 use crate::node::owner_calls::{OWNER_TIMEOUT, ask_owner, notify_owner, serve_as_owner};
 use crate::node::shared::{PARTITION, Shared};
 use crate::queue::Queue;
-use crate::rpc::node::{NodeCall, NodeReply, NodeService, Question};
+use crate::rpc::node::{JobRequest, NodeCall, NodeReply, NodeService};
 use crate::store::{StoreCall, StoreReply, Table};
 use crate::workspace::{Caller, Workspace};
 
@@ -345,8 +345,8 @@
     }
 }
 
-fn question(caller: &Caller, job: JobId) -> Question {
-    Question {
+fn question(caller: &Caller, job: JobId) -> JobRequest {
+    JobRequest {
         job,
         caller: caller.clone(),
     }
--- a/src/node/heartbeat.rs
+++ b/src/node/heartbeat.rs
@@ -16,7 +16,7 @@
 use crate::node::members::Members;
 use crate::node::owner;
 use crate::node::shared::Shared;
-use crate::rpc::node::Beat;
+use crate::rpc::node::Heartbeat;
 
 /// Interval of heartbeats to watchers, in milliseconds: a heartbeat costs its receiver some tens of
 /// microseconds, and three may be missed before the owner is suspected.
@@ -90,7 +90,7 @@
 pub async fn run(shared: &Arc<Shared>) {
     let mut schedule = Schedule::default();
     let mut reviewed = 0;
-    let mut beat: Option<(Millis, Beat)> = None;
+    let mut beat: Option<(Millis, Heartbeat)> = None;
     shared.members().restart_silence(shared.now());
     while let Some(engine) = shared.engine() {
         let now = shared.now();
@@ -117,12 +117,12 @@
     }
 }
 
-fn spawn_exchange(shared: &Arc<Shared>, base: &Beat, node: Due) {
+fn spawn_exchange(shared: &Arc<Shared>, base: &Heartbeat, node: Due) {
     let (membership, changes) = {
         let mut members = shared.members();
         (members.digest(), members.changes_for(&node.name))
     };
-    let beat = Beat {
+    let beat = Heartbeat {
         interval: node.interval as u32,
         membership,
         changes,
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Millis;
-use crate::rpc::node::{Beat, MemberChange};
+use crate::rpc::node::{Heartbeat, MemberChange};
 
 /// A node that has been silent for this long, in milliseconds, is removed: either it is replaced by
 /// one with another address, or it announces itself when it is back.
@@ -160,7 +160,7 @@
 
     /// Applies what a node reports of itself and of others.  Returns how many entries were refused,
     /// because they could not be parsed or were too many.
-    pub fn apply_heartbeat(&mut self, beat: &Beat, source: Source, now: Millis) -> usize {
+    pub fn apply_heartbeat(&mut self, beat: &Heartbeat, source: Source, now: Millis) -> usize {
         let refused = self.apply_changes(beat, source, now);
         if beat.name == self.own {
             return refused;
@@ -205,7 +205,7 @@
         }
     }
 
-    fn apply_changes(&mut self, beat: &Beat, source: Source, now: Millis) -> usize {
+    fn apply_changes(&mut self, beat: &Heartbeat, source: Source, now: Millis) -> usize {
         let mut refused = beat.changes.len().saturating_sub(MAX_CHANGES);
         for change in beat.changes.iter().take(MAX_CHANGES) {
             match change {
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::clock::Millis;
-use crate::rpc::node::Beat;
+use crate::rpc::node::Heartbeat;
 
 /// Time granted to an owner on top of the heartbeats that may be missed, in milliseconds.  Urgent
 /// jobs have 0.9 s to spare, and a takeover takes some 150 ms after the owner is suspected.
@@ -75,7 +75,7 @@
 
     /// Tells whether this heartbeat comes from the known owner and says that it no longer owns the
     /// cell.
-    pub fn is_released_by(&self, beat: &Beat) -> bool {
+    pub fn is_released_by(&self, beat: &Heartbeat) -> bool {
         let is_owner = self
             .address
             .is_some_and(|own| own.to_string() == beat.address);
--- a/src/node/owner_calls.rs
+++ b/src/node/owner_calls.rs
@@ -7,7 +7,7 @@
 use crate::cell::record::JobRow;
 use crate::clock::Millis;
 use crate::node::shared::Shared;
-use crate::rpc::node::{NodeCall, NodeReply, Question};
+use crate::rpc::node::{JobRequest, NodeCall, NodeReply};
 
 /// Time limit for the owner to accept a job or to report its state, in milliseconds.
 pub const OWNER_TIMEOUT: Millis = 600;
@@ -37,11 +37,11 @@
         {
             NodeReply::UnknownJob
         }
-        NodeCall::State(Question { job: id, .. }) => match engine.state_or_end(id).await {
+        NodeCall::State(JobRequest { job: id, .. }) => match engine.state_or_end(id).await {
             Some(state) => NodeReply::State(state),
             None => NodeReply::UnknownJob,
         },
-        NodeCall::Explain(Question { job: id, .. }) => {
+        NodeCall::Explain(JobRequest { job: id, .. }) => {
             match engine.view(id).map(|view| serde_json::to_vec(&view)) {
                 Some(Ok(view)) => NodeReply::Explained(view),
                 Some(Err(err)) => {
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -15,7 +15,7 @@
 use crate::node::owner::Owner;
 use crate::node::route::{RELAY_WINDOW, ReplyTimeout, RoutedStore};
 use crate::queue::Configuration;
-use crate::rpc::node::{Beat, NodeLink};
+use crate::rpc::node::{Heartbeat, NodeLink};
 use crate::store::{StoreCall, StoreError, StoreReply};
 
 /// Every cell's rows lie in a partition of their own.  There is one cell so far.
@@ -338,16 +338,16 @@
 
     /// What this node says of itself to the node `name`, with what that one may not know of
     /// others.
-    pub fn heartbeat_for(&self, name: &str) -> Beat {
+    pub fn heartbeat_for(&self, name: &str) -> Heartbeat {
         let changes = self.members().changes_for(name);
-        Beat {
+        Heartbeat {
             changes,
             ..self.heartbeat()
         }
     }
 
     /// What this node says of itself.
-    pub fn heartbeat(&self) -> Beat {
+    pub fn heartbeat(&self) -> Heartbeat {
         let now = self.now();
         let owner = self.owner().clone();
         let engine = self.engine();
@@ -360,7 +360,7 @@
             Some(engine) => engine.workspaces_of(&ends),
             None => self.early_ends().workspaces(),
         };
-        Beat {
+        Heartbeat {
             name: self.name.clone(),
             boot: self.boot,
             address: self.address.to_string(),
@@ -392,7 +392,7 @@
         }
     }
 
-    fn apply_ends(&self, beat: &Beat) {
+    fn apply_ends(&self, beat: &Heartbeat) {
         match self.engine() {
             _ if beat.owns => self.early_ends().apply_heartbeat(beat),
             Some(engine) if !beat.ends.is_empty() => {
@@ -404,7 +404,7 @@
     }
 
     /// The owner of the highest epoch is sure of who is there; all others may be behind.
-    fn apply_members(&self, beat: &Beat, now: Millis) {
+    fn apply_members(&self, beat: &Heartbeat, now: Millis) {
         let owner_speaks = beat.owns && beat.epoch >= self.owner().epoch;
         let source = match owner_speaks && self.engine().is_none() {
             true => Source::Authoritative,
@@ -418,7 +418,7 @@
     }
 
     /// Takes in what another node says of itself.
-    pub fn apply_heartbeat(&self, beat: &Beat) {
+    pub fn apply_heartbeat(&self, beat: &Heartbeat) {
         let now = self.now();
         self.apply_members(beat, now);
         self.apply_ends(beat);
--- a/src/rpc/node.rs
+++ b/src/rpc/node.rs
@@ -21,7 +21,7 @@
 
 /// What a node says of itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Its name.
     pub name: String,
     /// Names this start of its process.
@@ -81,14 +81,14 @@
 
 /// A question about a job, or its cancelling.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct JobRequest {
     /// The job.
     pub job: JobId,
     /// Who asks.
     pub caller: Caller,
 }
 
-impl Question {
+impl JobRequest {
     /// A node of a version without workspaces asks: it has let everybody in.
     fn of_older_node(job: u64) -> Self {
         Self {
@@ -102,13 +102,13 @@
 #[derive(Debug, Clone)]
 pub enum NodeCall {
     /// Tells how the sender is.
-    Beat(Beat),
+    Beat(Heartbeat),
     /// A job whose row is durable: JSON of [`crate::cell::record::JobRow`].
     Accepted(Vec<u8>),
     /// Asks for a job's state.
-    State(Question),
+    State(JobRequest),
     /// Cancels a job.
-    Cancel(Question),
+    Cancel(JobRequest),
     /// Asks the receiver to make a call to the advice service.
     Advise {
         /// The step's name.
@@ -121,7 +121,7 @@
     /// JSON of a [`crate::store::StoreCall`] to make for the sender.
     Relay(Vec<u8>),
     /// Asks how a job stands, in detail.
-    Explain(Question),
+    Explain(JobRequest),
     /// Rows of accepted jobs, by key, to be written together with the receiver's own.
     Write(Vec<(String, String)>),
 }
@@ -130,7 +130,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NodeReply {
     /// How the receiver is.
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     /// The receiver does not own the cell.
     NotOwner,
     /// The job is taken in.
@@ -264,7 +264,7 @@
     transport::serve(listener, node.client).await;
 }
 
-fn write_beat(beat: &Beat, mut out: wire::beat::Builder) {
+fn write_beat(beat: &Heartbeat, mut out: wire::beat::Builder) {
     out.set_name(&beat.name);
     out.set_boot(beat.boot);
     out.set_address(&beat.address);
@@ -332,7 +332,7 @@
     })
 }
 
-fn read_beat(beat: wire::beat::Reader) -> capnp::Result<Beat> {
+fn read_beat(beat: wire::beat::Reader) -> capnp::Result<Heartbeat> {
     let mut changes = Vec::new();
     for change in beat.get_changes()? {
         changes.push(read_change(change)?);
@@ -351,7 +351,7 @@
             workspaces.push((job, workspace));
         }
     }
-    Ok(Beat {
+    Ok(Heartbeat {
         name: beat.get_name()?.to_string()?,
         boot: beat.get_boot(),
         address: beat.get_address()?.to_string()?,
@@ -374,7 +374,7 @@
     })
 }
 
-fn write_question(question: &Question, mut out: wire::question::Builder) {
+fn write_question(question: &JobRequest, mut out: wire::question::Builder) {
     out.set_job(question.job.0);
     let mut caller = out.init_caller();
     match &question.caller {
@@ -384,14 +384,14 @@
     }
 }
 
-fn read_question(question: wire::question::Reader) -> capnp::Result<Question> {
+fn read_question(question: wire::question::Reader) -> capnp::Result<JobRequest> {
     use wire::question::caller;
     let caller = match question.get_caller().which()? {
         caller::Anonymous(()) => Caller::Anonymous,
         caller::Workspace(name) => Caller::Workspace(name?.to_string()?),
         caller::Operator(()) => Caller::Operator,
     };
-    Ok(Question {
+    Ok(JobRequest {
         job: JobId(question.get_job()),
         caller,
     })
@@ -429,8 +429,8 @@
     Ok(match call.which()? {
         wire::request::Beat(beat) => NodeCall::Beat(read_beat(beat?)?),
         wire::request::Accepted(row) => NodeCall::Accepted(row?.to_vec()),
-        wire::request::State(id) => NodeCall::State(Question::of_older_node(id)),
-        wire::request::Cancel(id) => NodeCall::Cancel(Question::of_older_node(id)),
+        wire::request::State(id) => NodeCall::State(JobRequest::of_older_node(id)),
+        wire::request::Cancel(id) => NodeCall::Cancel(JobRequest::of_older_node(id)),
         wire::request::StateFor(question) => NodeCall::State(read_question(question?)?),
         wire::request::CancelFor(question) => NodeCall::Cancel(read_question(question?)?),
         wire::request::ExplainFor(question) => NodeCall::Explain(read_question(question?)?),
@@ -447,7 +447,7 @@
         }
         wire::request::Configuration(version) => NodeCall::Configuration(version),
         wire::request::Relay(call) => NodeCall::Relay(call?.to_vec()),
-        wire::request::Explain(id) => NodeCall::Explain(Question::of_older_node(id)),
+        wire::request::Explain(id) => NodeCall::Explain(JobRequest::of_older_node(id)),
         wire::request::Write(rows) => {
             let mut list = Vec::new();
             for row in rows? {
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -18,7 +18,7 @@
 use crossweir::cell::{Cell, WorkerKey};
 use crossweir::clock::Millis;
 use crossweir::queue::{AdvicePolicy, Configuration, Draft, Queue};
-use crossweir::rpc::node::Question;
+use crossweir::rpc::node::JobRequest;
 use crossweir::workspace::{Caller, Workspace, Workspaces};
 
 /// The service of all workers here.
@@ -134,8 +134,8 @@
 }
 
 /// A question about a job, by whoever has no key.
-pub fn question(id: u64) -> Question {
-    Question {
+pub fn question(id: u64) -> JobRequest {
+    JobRequest {
         job: JobId(id),
         caller: Caller::Anonymous,
     }
--- a/tests/confirming.rs
+++ b/tests/confirming.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossweir::node::engine::Engine;
-use crossweir::rpc::node::Beat;
+use crossweir::rpc::node::Heartbeat;
 use tokio::time::Instant;
 use virtual_node::{Relay, VirtualNode, claim, virtual_node};
 
@@ -37,13 +37,13 @@
     /// believe that they reach the store.
     fn hear(&self, relays: &[Relay]) {
         for (place, relay) in relays.iter().enumerate() {
-            self.node.shared.apply_heartbeat(&Beat {
+            self.node.shared.apply_heartbeat(&Heartbeat {
                 name: format!("n{}", place + 1),
                 boot: 1,
                 address: format!("127.0.0.1:{}", place + 1),
                 epoch: 1,
                 reaches_store: *relay != Relay::Away,
-                ..Beat::default()
+                ..Heartbeat::default()
             });
         }
     }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -82,7 +82,7 @@
 
     // Assert.
     assert!(answers.iter().all(Result::is_ok), "{answers:?}");
-    assert_eq!((worker.most(), client.connections()), (3, 3));
+    assert_eq!((worker.most(), client.connection_count()), (3, 3));
 }
 
 #[tokio::test]
@@ -100,7 +100,11 @@
 
     // Assert.
     assert!(answers.iter().all(Result::is_ok), "{answers:?}");
-    assert!(client.connections() <= 8, "{}", client.connections());
+    assert!(
+        client.connection_count() <= 8,
+        "{}",
+        client.connection_count()
+    );
 }
 
 #[tokio::test]
--- a/tests/early_ends.rs
+++ b/tests/early_ends.rs
@@ -8,18 +8,18 @@
 use crossweir::cell::spec::JobId;
 use crossweir::node::early_ends::EarlyEnds;
 use crossweir::node::front::{Frontend, JobAnswer};
-use crossweir::rpc::node::Beat;
+use crossweir::rpc::node::Heartbeat;
 use crossweir::workspace::Caller;
 use virtual_node::virtual_node;
 
 const END: (JobId, JobState) = (JobId(1), JobState::Succeeded);
 
-fn owner(epoch: u64, ends: &[(JobId, JobState)]) -> Beat {
-    Beat {
+fn owner(epoch: u64, ends: &[(JobId, JobState)]) -> Heartbeat {
+    Heartbeat {
         epoch,
         owns: true,
         ends: ends.to_vec(),
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -55,7 +55,7 @@
 #[test]
 fn an_end_is_told_to_callers_of_its_workspace_only() {
     let mut early = EarlyEnds::default();
-    early.apply_heartbeat(&Beat {
+    early.apply_heartbeat(&Heartbeat {
         workspaces: vec![(END.0, String::from("team"))],
         ..owner(1, &[END, (JobId(2), JobState::Failed)])
     });
@@ -72,7 +72,7 @@
 async fn a_node_without_an_owner_does_not_tell_another_workspace_of_an_end() {
     // Arrange: the owner has told of an end and is gone.
     let node = virtual_node(&[]);
-    node.shared.apply_heartbeat(&Beat {
+    node.shared.apply_heartbeat(&Heartbeat {
         name: String::from("n1"),
         address: String::from("127.0.0.1:1"),
         workspaces: vec![(END.0, String::from("team"))],
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -9,20 +9,20 @@
 use crossweir::cell::tuning;
 use crossweir::node::election;
 use crossweir::node::recording::OwnerRow;
-use crossweir::rpc::node::Beat;
+use crossweir::rpc::node::Heartbeat;
 use crossweir::store::{Store, StoreCall, StoreReply, Table, Transaction};
 use virtual_node::{Relay, VirtualNode, claim, virtual_node, virtual_node_of};
 
 /// A heartbeat of a node that has just started and knows of epoch 5.
-fn started_beat() -> Beat {
-    Beat {
+fn started_beat() -> Heartbeat {
+    Heartbeat {
         name: String::from("n1"),
         boot: 1,
         address: String::from("127.0.0.1:1"),
         epoch: 5,
         reaches_store: true,
         owner_silence: u64::MAX,
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -80,7 +80,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_speaks_for_an_owner_that_it_has_heard() {
     let node = virtual_node(&[Relay::Gone]);
-    node.shared.apply_heartbeat(&Beat {
+    node.shared.apply_heartbeat(&Heartbeat {
         owns: true,
         ..started_beat()
     });
@@ -113,7 +113,7 @@
     let node = virtual_node_of(100, &[]);
     time_to_claim(&node).await;
     for _ in 0..50 {
-        node.shared.apply_heartbeat(&Beat {
+        node.shared.apply_heartbeat(&Heartbeat {
             strength,
             epoch: tuning::next_epoch(0),
             ..started_beat()
@@ -140,12 +140,12 @@
 #[tokio::test(start_paused = true)]
 async fn the_others_need_not_wait_for_an_owner_that_has_given_the_cell_up() {
     let node = virtual_node(&[Relay::Gone]);
-    let owning = Beat {
+    let owning = Heartbeat {
         owns: true,
         ..started_beat()
     };
     node.shared.apply_heartbeat(&owning);
-    node.shared.apply_heartbeat(&Beat {
+    node.shared.apply_heartbeat(&Heartbeat {
         owns: false,
         ..owning
     });
@@ -162,7 +162,7 @@
 
     // Act: a far stronger node is heard for some seconds.
     for _ in 0..50 {
-        node.shared.apply_heartbeat(&Beat {
+        node.shared.apply_heartbeat(&Heartbeat {
             strength: 500,
             epoch: tuning::next_epoch(0),
             ..started_beat()
@@ -188,7 +188,7 @@
     tx.puts.push((OwnerRow::key(), row.write()));
     node.store.commit(&tx);
     for owns in [true, false] {
-        node.shared.apply_heartbeat(&Beat {
+        node.shared.apply_heartbeat(&Heartbeat {
             owns,
             epoch,
             ..started_beat()
@@ -220,12 +220,12 @@
 async fn a_former_owner_that_has_started_again_does_not_end_the_wait_for_a_claim() {
     // Arrange: an owner was heard, and then a node that claims the cell from it.
     let node = virtual_node(&[Relay::Gone, Relay::Gone]);
-    node.shared.apply_heartbeat(&Beat {
+    node.shared.apply_heartbeat(&Heartbeat {
         owns: true,
         ..started_beat()
     });
     tokio::time::sleep(Duration::from_millis(600)).await;
-    node.shared.apply_heartbeat(&Beat {
+    node.shared.apply_heartbeat(&Heartbeat {
         name: String::from("n2"),
         address: String::from("127.0.0.1:2"),
         claim_age: Some(0),
@@ -233,7 +233,7 @@
     });
 
     // Act: the former owner is back, and owns nothing any more.
-    node.shared.apply_heartbeat(&Beat {
+    node.shared.apply_heartbeat(&Heartbeat {
         boot: 2,
         ..started_beat()
     });
--- a/tests/forgotten_nodes.rs
+++ b/tests/forgotten_nodes.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crossweir::node::engine::Engine;
-use crossweir::rpc::node::Beat;
+use crossweir::rpc::node::Heartbeat;
 use virtual_node::{Relay, VirtualNode, claim, virtual_node};
 
 /// An owner that has heard two other nodes, and reaches neither them nor the store from now on.
@@ -19,13 +19,13 @@
     let engine = engine.expect("the cell loads");
     node.shared.set_engine(Some(Arc::clone(&engine)));
     for place in 1..=2 {
-        node.shared.apply_heartbeat(&Beat {
+        node.shared.apply_heartbeat(&Heartbeat {
             name: format!("n{place}"),
             boot: 1,
             address: format!("127.0.0.1:{place}"),
             epoch: 1,
             reaches_store: true,
-            ..Beat::default()
+            ..Heartbeat::default()
         });
     }
     node.guarded.shut.store(true, Ordering::Relaxed);
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -13,7 +13,7 @@
 use crossweir::node::front::{Frontend, JobAnswer};
 use crossweir::node::intake::SubmitOutcome;
 use crossweir::node::shared::{JOB_PARTITIONS, job_partition};
-use crossweir::rpc::node::Beat;
+use crossweir::rpc::node::Heartbeat;
 use crossweir::store::{Store, StoreCall, StoreError, StoreReply, Table, Transaction};
 use crossweir::workspace::Caller;
 use tokio::time::Instant;
@@ -124,10 +124,10 @@
 async fn submit_to_slow_store(others: u16) -> (SubmitOutcome, usize) {
     let node = virtual_node(&vec![Relay::Works; usize::from(others)]);
     for number in 1..=others {
-        node.shared.apply_heartbeat(&Beat {
+        node.shared.apply_heartbeat(&Heartbeat {
             name: format!("a{number:02}"),
             address: format!("127.0.0.1:{number}"),
-            ..Beat::default()
+            ..Heartbeat::default()
         });
     }
     node.guarded.delay.store(600, Ordering::Relaxed);
@@ -180,10 +180,10 @@
     // Arrange: the first by name of four nodes, and a store that takes 600 ms.
     let node = virtual_node(&[]);
     for name in ["n1", "n2", "n3"] {
-        node.shared.apply_heartbeat(&Beat {
+        node.shared.apply_heartbeat(&Heartbeat {
             name: name.to_owned(),
             address: String::from("127.0.0.1:1"),
-            ..Beat::default()
+            ..Heartbeat::default()
         });
     }
     node.guarded.delay.store(600, Ordering::Relaxed);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,7 +1,7 @@
 //! What a node knows of the others, and how two that know different nodes come to agree.
 
 use crossweir::node::members::{MAX_CHANGES, Members, NodeRow, Source};
-use crossweir::rpc::node::{Beat, MemberChange, NodeCall};
+use crossweir::rpc::node::{Heartbeat, MemberChange, NodeCall};
 use yare::parameterized;
 
 const NOW: u64 = 1_000;
@@ -27,15 +27,15 @@
 }
 
 /// What the node of this place says of itself and of others.
-fn beat(place: usize, from: &Members, changes: Vec<MemberChange>) -> Beat {
-    Beat {
+fn beat(place: usize, from: &Members, changes: Vec<MemberChange>) -> Heartbeat {
+    Heartbeat {
         name: name(place),
         boot: 1,
         address: row(place).address.to_string(),
         millicores: row(place).millicores,
         membership: from.digest(),
         changes,
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -148,7 +148,7 @@
     exchange(&mut owner, &mut other, 1);
 
     // Act: it tells the owner itself.
-    let moved = Beat {
+    let moved = Heartbeat {
         address: String::from("10.0.9.9:7000"),
         ..beat(5, &members(5, []), Vec::new())
     };
@@ -204,10 +204,10 @@
 #[test]
 fn a_beat_without_a_readable_address_is_refused() {
     let mut members = members(1, [0]);
-    let beat = Beat {
+    let beat = Heartbeat {
         name: name(7),
         address: String::from("nowhere"),
-        ..Beat::default()
+        ..Heartbeat::default()
     };
     assert_eq!(members.apply_heartbeat(&beat, Source::Secondhand, NOW), 1);
     assert!(members.get("n7").is_none());
@@ -247,7 +247,7 @@
     // Arrange.
     let mut members = members(0, [1]);
     let away = beat(1, &self::members(1, []), Vec::new());
-    let back = Beat {
+    let back = Heartbeat {
         reaches_store: true,
         ..away.clone()
     };
@@ -276,7 +276,7 @@
     let full = beat(0, &owner, changes);
 
     // Act.
-    let bytes = |beat: Beat| NodeCall::Beat(beat).wire_bytes();
+    let bytes = |beat: Heartbeat| NodeCall::Beat(beat).wire_bytes();
     let (plain, full) = (bytes(plain), bytes(full));
 
     // Assert.
--- a/tests/nodes/mod.rs
+++ b/tests/nodes/mod.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use crossweir::http::client::{Answer, CallError, HttpClient};
+use crossweir::http::client::{CallError, FullResponse, HttpClient};
 use serde_json::{Value, json};
 use standin::{HOST, StandIn};
 use volo_http::http::{Method, StatusCode};
@@ -124,7 +124,7 @@
     address: SocketAddr,
     path: &str,
     body: Value,
-) -> Result<Answer, CallError> {
+) -> Result<FullResponse, CallError> {
     call_with(method, address, path, body, &[]).await
 }
 
@@ -135,7 +135,7 @@
     path: &str,
     body: Value,
     headers: &[(&'static str, &str)],
-) -> Result<Answer, CallError> {
+) -> Result<FullResponse, CallError> {
     let url = format!("http://{address}{path}");
     let further = headers
         .iter()
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -14,7 +14,7 @@
 
 use cell_core::question;
 use crossweir::cell::job::JobState;
-use crossweir::http::client::{Answer, CallError, HttpClient};
+use crossweir::http::client::{CallError, FullResponse, HttpClient};
 use crossweir::http::server;
 use crossweir::rpc::PeerError;
 use crossweir::rpc::node::{self, NodeCall, NodeLink, NodeReply, NodeService, RpcNodeLink};
@@ -309,7 +309,7 @@
     drop(listener);
 }
 
-fn drop_answer(answer: Result<Answer, CallError>) -> Result<(), CallError> {
+fn drop_answer(answer: Result<FullResponse, CallError>) -> Result<(), CallError> {
     answer.map(|_| ())
 }
 
--- a/tests/told_configuration.rs
+++ b/tests/told_configuration.rs
@@ -15,7 +15,7 @@
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::configuration;
 use crossweir::queue::{Configuration, Draft};
-use crossweir::rpc::node::Beat;
+use crossweir::rpc::node::Heartbeat;
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use virtual_node::{Relay, VirtualNode, virtual_node_with};
 
@@ -54,7 +54,7 @@
 fn hear(node: &VirtualNode, version: u64) {
     for number in 1..=OTHERS {
         let owns = number == OTHERS;
-        node.shared.apply_heartbeat(&Beat {
+        node.shared.apply_heartbeat(&Heartbeat {
             name: format!("a{number:02}"),
             boot: 1,
             address: format!("127.0.0.1:{number}"),
@@ -64,7 +64,7 @@
             reaches_store: true,
             millicores: 8_000,
             interval: 500,
-            ..Beat::default()
+            ..Heartbeat::default()
         });
     }
 }
--- a/tests/virtual_node/mod.rs
+++ b/tests/virtual_node/mod.rs
@@ -20,7 +20,7 @@
 use crossweir::node::shared::{Identity, Links, Shared};
 use crossweir::queue::{Configuration, Draft, Queue};
 use crossweir::rpc::PeerError;
-use crossweir::rpc::node::{Beat, NodeCall, NodeLink, NodeReply};
+use crossweir::rpc::node::{Heartbeat, NodeCall, NodeLink, NodeReply};
 use crossweir::store::{
     RowKey, Store, StoreCall, StoreError, StoreReply, Table, Transaction, encode,
 };
@@ -221,12 +221,12 @@
 impl VirtualNode {
     /// Another node tells that it reaches the store.
     pub fn hear_other(&self) {
-        self.shared.apply_heartbeat(&Beat {
+        self.shared.apply_heartbeat(&Heartbeat {
             name: String::from("n1"),
             boot: 1,
             address: String::from("127.0.0.1:1"),
             reaches_store: true,
-            ..Beat::default()
+            ..Heartbeat::default()
         });
     }
 }
