--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -1,7 +1,8 @@
 //! The owner's side of a node: drives the scheduling core of the cell.
 //!
-//! An engine lives for one epoch.  It begins by loading the cell's rows, runs a
-//! handful of loops, and retires when a higher epoch is heard of.
+//! An engine lives for one epoch.  It loads the cell's rows and then runs a handful of loops, which
+//! schedule tasks, record progress, confirm the ownership, follow rows of the store and poll the
+//! workers.  It retires when the ownership ends, for example because a higher epoch became known.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -28,63 +29,72 @@
 use crate::rpc::node::{JobRequest, NodeReply};
 use crate::store::Version;
 
-/// Scheduling runs at least so often, for leases and retries.
+/// Maximum time between two scheduling rounds, so that leases and retries are handled in time even
+/// if nothing else happens.
 const TICK: Duration = Duration::from_millis(50);
-/// How often it is logged what waits.
+/// Interval of the log line about the cell, in milliseconds.
 const SUMMARY_INTERVAL: Millis = 1_000;
-/// A peer heard within this time bears witness: two heartbeats, of which one may be late.
+/// A node that was heard within this time, in milliseconds, counts as alive: two intervals
+/// of heartbeats and the time limit of one, since one of the two may be late.
 pub(super) const PEER_ALIVE_WINDOW: Millis =
     2 * heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
-/// How long a question about a job waits for its end: three times what passes until an end
-/// is known and recorded.
+/// How long the answer to a request for the state of a job waits for the job's end: three times the time that
+/// it takes to learn of an end and record it.
 const END_WAIT: Duration = Duration::from_millis(120);
-/// How long a cancellation waits to be recorded: callers wait 3 s.
+/// Time limit for recording a cancellation: callers wait 3 s for an answer.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(2_200);
 
-/// What the owner of a cell holds.
+/// The state of a node that owns the cell.
 pub struct Engine {
     /// The epoch of this ownership.
     pub epoch: u64,
-    /// Since when it is held, by our clock.
+    /// When this ownership began, by our clock.
     pub held_since: Millis,
-    /// The transaction that claimed it.
+    /// The version of the transaction that claimed the cell.
     pub(super) claim_version: Version,
     pub(super) shared: Arc<Shared>,
     cell: Mutex<Cell>,
+    /// Triggers a scheduling round.
     pub(super) wake: Notify,
+    /// Triggers the recording of what has changed.
     pub(super) record: Notify,
+    /// Signals that changes are recorded, or that other nodes have learned of ends of jobs.
     pub(super) recorded: Notify,
-    /// The version of the row of ownership as we last wrote it, and the batch in it.
+    /// The version of the ownership row as we last wrote it, and the number of the batch in it.
     pub(super) ownership_row: tokio::sync::Mutex<(Version, u64)>,
     roster_rows: Mutex<RosterRows>,
-    /// The most jobs in a transaction; fewer after one that the store has rejected.
+    /// The maximum number of jobs in a transaction; reduced after the store has rejected one.
     pub(super) max_jobs: AtomicUsize,
     /// The version of the roster that is recorded.
     pub(super) recorded_roster_version: AtomicU64,
     retired: AtomicBool,
-    /// The cell is being given up, and nothing is recorded after that.
+    /// The cell is being released.  Nothing is recorded after the release.
     pub(super) releasing: AtomicBool,
-    /// A transaction has to be repeated, so ends wait to be recorded.
+    /// A transaction is late or has to be repeated, so ends of jobs wait to be recorded.
     pub(super) stalled: AtomicBool,
+    /// When the latest call that confirmed the ownership was sent, by our clock.
     pub(super) confirmed_at: AtomicU64,
-    /// The most nodes that were known since the store last confirmed the ownership: one that
-    /// has been forgotten since, being silent, may have claimed the cell.
+    /// The highest number of nodes known at any time since the store last confirmed the ownership.
+    /// A node that has been forgotten since, because it was silent, may have claimed the cell.
     pub(super) max_node_count: AtomicUsize,
-    /// All entries of workers that were written before then are taken in.
+    /// All entries of workers that were written before this time, by our clock, are applied.
     pub(super) workers_read_at: AtomicU64,
+    /// The workers for which a poll loop was started.
     polled_workers: Mutex<HashSet<WorkerKey>>,
-    /// Wakes those that look after workers which are parked.
+    /// Wakes the poll loops of parked workers.
     unpark_notifiers: Mutex<HashMap<WorkerKey, Arc<Notify>>>,
+    /// The names of the nodes whose connections to the advice service are the core's lanes, by the
+    /// index of the lane; the first is our own.
     lanes: Mutex<Vec<String>>,
     tasks: Mutex<JoinSet<()>>,
 }
 
 impl Engine {
-    /// Loads the cell and begins to act as its owner under `epoch`, which was claimed
-    /// by the transaction `version`.
+    /// Loads the cell and starts acting as its owner under `epoch`, which was claimed by the
+    /// transaction of this `version`.
     ///
     /// # Errors
-    /// Fails if the store cannot be read; the claim stands and may be loaded again.
+    /// Fails if the store cannot be read.  The claim remains valid, so the cell may be loaded again.
     pub async fn start(
         shared: &Arc<Shared>,
         epoch: u64,
@@ -145,12 +155,12 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether this ownership is over.
+    /// Returns whether this ownership has ended.
     pub fn is_retired(&self) -> bool {
         self.retired.load(Ordering::Relaxed)
     }
 
-    /// Ends this ownership: nothing is ordered any more.
+    /// Ends this ownership: no more orders are given.
     pub fn retire(&self, reason: &'static str) {
         if self.retired.swap(true, Ordering::Relaxed) {
             return;
@@ -160,25 +170,26 @@
         self.tasks().abort_all();
     }
 
-    /// Tells whether orders may be given: the ownership was confirmed of late.
+    /// Returns whether orders may be given: the ownership has not ended and was confirmed recently.
     pub fn is_active(&self) -> bool {
         let confirmed = self.confirmed_at.load(Ordering::Relaxed);
         !self.is_retired() && self.shared.now().saturating_sub(confirmed) < tuning::OWNER_STOP_TIME
     }
 
-    /// The row of ownership was seen to be ours by a call that was sent at `sent`.
+    /// Notes that a call sent at `sent` has found the ownership row to be ours.
     pub(super) fn confirm(&self, sent: Millis) {
         self.max_node_count
             .store(self.node_count(), Ordering::Relaxed);
         self.confirmed_at.fetch_max(sent, Ordering::Relaxed);
     }
 
-    /// Most nodes said after `sent` that they do not reach the store.
+    /// Notes that most nodes have said, after `sent`, that they do not reach the store, so that none
+    /// of them can have claimed the cell.
     pub(super) fn confirm_by_peers(&self, sent: Millis) {
         self.confirmed_at.fetch_max(sent, Ordering::Relaxed);
     }
 
-    /// A newer configuration is in force.
+    /// Applies the configuration in force to the core.
     pub fn configure(&self) {
         if let Some(config) = self.shared.config() {
             self.cell().configure(config);
@@ -186,12 +197,12 @@
         }
     }
 
-    /// Jobs of which nothing has begun, by queue.
+    /// Returns the number of jobs of which no task has started, by queue.
     pub fn pending(&self) -> Vec<(String, u32)> {
         self.cell().pending().into_iter().collect()
     }
 
-    /// Passes the core's counts on to the metrics.
+    /// Exports the core's counts as metrics.
     pub fn export_counts(&self, metrics: &crate::metrics::Metrics) {
         let (counts, (used, capacity), ledger_errors, parked) = {
             let cell = self.cell();
@@ -203,7 +214,7 @@
         metrics.gauge("workers_age_ms", self.workers_age() as i64);
         metrics.gauge("held_millicores", used.millicores as i64);
         metrics.gauge("millicores", capacity.millicores as i64);
-        for (what, value) in [
+        for (name, value) in [
             ("starts", counts.starts),
             ("stops", counts.stops),
             ("questions", counts.questions),
@@ -219,23 +230,23 @@
             ("rival_lives", counts.rival_lives),
             ("unread_ends", counts.unread_ends),
         ] {
-            metrics.gauge(what, value as i64);
+            metrics.gauge(name, value as i64);
         }
     }
 
-    /// Takes in a job whose row is durable.
+    /// Adds an accepted job, whose row is durable, to the core.
     pub fn accepted(&self, row: &JobRow) {
         let now = self.shared.now();
         self.cell().accept(row, None, false, now);
         self.wake.notify_one();
     }
 
-    /// Tells whether ends wait for a store that does not take them, or takes long.
+    /// Returns whether ends of jobs wait to be recorded, because the store fails or is slow.
     pub fn is_stalled(&self) -> bool {
         self.stalled.load(Ordering::Relaxed)
     }
 
-    /// Ends that the store could not take so far; none while it takes them.
+    /// Returns the ends of jobs that could not be recorded yet; none unless recording is stalled.
     pub fn early_ends(&self) -> Vec<(JobId, JobState)> {
         if self.is_stalled() {
             self.cell().unrecorded_job_ends()
@@ -244,14 +255,14 @@
         }
     }
 
-    /// Whose the jobs of these ends are, of those that belong to a workspace.
+    /// Returns the workspaces to which the ended jobs belong, without the jobs that have none.
     pub fn workspaces_of(&self, ends: &[(JobId, JobState)]) -> Vec<(JobId, String)> {
         let cell = self.cell();
         let workspace = |&(id, _): &(JobId, JobState)| Some((id, cell.workspace_name(id)?));
         ends.iter().filter_map(workspace).collect()
     }
 
-    /// Another node knows of these ends now.
+    /// Notes that another node knows of these ends now.
     pub fn mark_ends_known_to_peer(&self, ends: &[(JobId, JobState)]) {
         if !ends.is_empty() {
             self.cell().mark_ends_known_to_peer(ends);
@@ -259,7 +270,7 @@
         }
     }
 
-    /// Another node tells of ends that a former owner could not record.
+    /// Accepts ends that a former owner could not record and that another node reports.
     pub fn accept_peer_ends(&self, ends: &[(JobId, JobState)]) {
         for &(id, state) in ends {
             tracing::info!(request = %id, ?state, "end was decided by a former owner");
@@ -268,74 +279,77 @@
         self.record.notify_one();
     }
 
-    /// Forgets a job that ended long ago; false if something of it may still run.
+    /// Removes a job that ended long ago from memory.  Returns false if one of its tasks may still
+    /// run.
     pub fn forget(&self, id: JobId) -> bool {
         self.cell().forget_job(id)
     }
 
-    /// How a job stands, in detail; none if it is not known here.
+    /// Returns the state of a job in detail; none if the job is not known here.
     pub fn view(&self, id: JobId) -> Option<JobView> {
         self.cell().view(id, self.shared.now())
     }
 
-    /// Tells whether the end of a job is recorded.
+    /// Returns whether the end of a job is recorded.
     pub fn is_end_recorded(&self, id: JobId) -> bool {
         self.cell().is_end_recorded(id)
     }
 
-    /// How far a job is; none if it is not known here.
+    /// Returns the state of a job; none if the job is not known here.
     pub fn state(&self, id: JobId) -> Option<JobState> {
         self.cell().state(id)
     }
 
-    /// How far a job is, told to a caller; none if it is not known here.
+    /// Returns the state of a job for a caller; none if the job is not known here.
     ///
-    /// One that may end at any moment is waited for a while: callers ask just after their last
-    /// task has ended, some 40 ms before that is recorded, and would ask again only a quarter of a
-    /// second later, which is all that urgent jobs have to spare.  From a job's last end to the
-    /// answer that tells of it 0.26 s passed in the median, and 0.07 s since.
+    /// If the job may end at any moment, waits up to `END_WAIT` for the end.  Callers ask just
+    /// after their last task has ended, some 40 ms before that is recorded.  They would ask again
+    /// only a quarter of a second later, which is all that urgent jobs have to spare.  In the median
+    /// the time from a job's last end to the answer that reports it is 0.07 s, and 0.26 s without
+    /// this wait.
     pub async fn state_or_end(&self, id: JobId) -> Option<JobState> {
         let until = tokio::time::Instant::now() + END_WAIT;
         loop {
-            let shown = self.recorded.notified();
-            let (state, waits) = {
+            let recorded = self.recorded.notified();
+            let (state, may_end_soon) = {
                 let cell = self.cell();
                 (cell.state(id), cell.may_end_soon(id))
             };
-            if !waits || tokio::time::timeout_at(until, shown).await.is_err() {
+            if !may_end_soon || tokio::time::timeout_at(until, recorded).await.is_err() {
                 return state;
             }
         }
     }
 
-    /// Tells whether whoever asks may know of the job, as far as it is known whose it is.
-    pub fn may_see(&self, asked: &JobRequest) -> bool {
-        let may_see_end = self.shared.early_ends().may_see(&asked.caller, asked.job);
-        may_see_end && self.cell().may_see(&asked.caller, asked.job)
+    /// Returns whether the caller who asks may see the job, as far as the job's workspace is known.
+    pub fn may_see(&self, request: &JobRequest) -> bool {
+        let (caller, job) = (&request.caller, request.job);
+        let may_see_end = self.shared.early_ends().may_see(caller, job);
+        may_see_end && self.cell().may_see(caller, job)
     }
 
-    /// Cancels a job and waits until that is recorded.
-    pub async fn cancel(&self, asked: &JobRequest) -> NodeReply {
-        let id = asked.job;
-        let mut decided = self.cell().cancel(id);
-        if decided == CancelOutcome::Unknown {
+    /// Cancels a job and waits until that is recorded, for at most `CANCEL_TIMEOUT`.
+    pub async fn cancel(&self, request: &JobRequest) -> NodeReply {
+        let id = request.job;
+        let mut outcome = self.cell().cancel(id);
+        if outcome == CancelOutcome::Unknown {
             match loading::find_job(&self.shared, id).await {
                 Ok(Some(row)) => {
                     self.accepted(&row);
-                    if !self.may_see(asked) {
+                    if !self.may_see(request) {
                         return NodeReply::UnknownJob;
                     }
-                    decided = self.cell().cancel(id);
+                    outcome = self.cell().cancel(id);
                 }
                 Ok(None) => return NodeReply::UnknownJob,
                 Err(_) => return NodeReply::Unavailable,
             }
         }
-        if decided != CancelOutcome::Decided {
+        if outcome != CancelOutcome::Decided {
             return NodeReply::Cancelled;
         }
         self.record.notify_one();
-        let wait = async {
+        let until_recorded = async {
             loop {
                 let recorded = self.recorded.notified();
                 if self.cell().cancel(id) == CancelOutcome::Final {
@@ -344,20 +358,20 @@
                 recorded.await;
             }
         };
-        match tokio::time::timeout(CANCEL_TIMEOUT, wait).await {
+        match tokio::time::timeout(CANCEL_TIMEOUT, until_recorded).await {
             Ok(()) => NodeReply::Cancelled,
             Err(_) => NodeReply::Unavailable,
         }
     }
 
     async fn schedule_loop(self: Arc<Self>) {
-        let mut took = Duration::ZERO;
+        let mut last_round = Duration::ZERO;
         let mut summarized_at = 0;
         let mut rounds = RoundStats::default();
         loop {
-            // Either something happened, or it is time to look at leases.
+            // Either something has happened, or it is time to check the leases.
             let _ = tokio::time::timeout(TICK, self.wake.notified()).await;
-            tokio::time::sleep(pace::pause_after(took)).await;
+            tokio::time::sleep(pace::pause_after(last_round)).await;
             if !self.is_active() {
                 continue;
             }
@@ -376,9 +390,9 @@
                 if cell.roster_version() != self.recorded_roster_version.load(Ordering::Relaxed) {
                     self.record.notify_one();
                 }
-                let late = self.shared.load.average_delay();
+                let delay = self.shared.load.average_delay();
                 let summary =
-                    is_summary_due.then(|| Summary::new(&cell, self.workers_age(), rounds, late));
+                    is_summary_due.then(|| Summary::new(&cell, self.workers_age(), rounds, delay));
                 (cell.take_orders(), cell.take_waits(), summary)
             };
             if let Some(summary) = summary {
@@ -386,13 +400,13 @@
                 rounds = RoundStats::default();
                 summary.log();
             }
-            let round = self.shared.now().saturating_sub(now);
-            rounds.note(round, orders.len());
-            took = Duration::from_millis(round);
+            let duration = self.shared.now().saturating_sub(now);
+            rounds.note(duration, orders.len());
+            last_round = Duration::from_millis(duration);
             for wait in waits {
                 self.shared
                     .metrics
-                    .wait(wait_class(wait.until, wait.priority), wait.time);
+                    .wait(wait_label(wait.until, wait.priority), wait.time);
             }
             for order in orders {
                 self.spawn(Arc::clone(&self).execute(order));
@@ -400,21 +414,21 @@
         }
     }
 
-    /// Waits until a worker is not parked any more.
+    /// Waits until a worker is no longer parked.
     pub(super) async fn wait_until_unparked(&self, key: WorkerKey) {
-        let woken = Arc::new(Notify::new());
-        self.unpark_notifiers().insert(key, Arc::clone(&woken));
-        // It may have been woken before anybody could tell us.
+        let unparked = Arc::new(Notify::new());
+        self.unpark_notifiers().insert(key, Arc::clone(&unparked));
+        // The worker may have been unparked before the notifier was registered.
         if self.cell().is_parked(key) {
-            woken.notified().await;
+            unparked.notified().await;
         }
         self.unpark_notifiers().remove(&key);
     }
 
     fn notify_unparked(&self, keys: &[WorkerKey]) {
         let notifiers = self.unpark_notifiers();
-        for woken in keys.iter().filter_map(|key| notifiers.get(key)) {
-            woken.notify_one();
+        for unparked in keys.iter().filter_map(|key| notifiers.get(key)) {
+            unparked.notify_one();
         }
     }
 
@@ -424,13 +438,13 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How old what is known of the workers' entries is.
+    /// Returns how old our knowledge of the workers' entries is, in milliseconds.
     fn workers_age(&self) -> Millis {
         let read = self.workers_read_at.load(Ordering::Relaxed);
         self.shared.now().saturating_sub(read)
     }
 
-    /// Begins to look after workers that are new.
+    /// Starts a poll loop for each worker that has none yet.
     pub(super) fn poll_new_workers(self: &Arc<Self>) {
         let keys = self.cell().worker_keys();
         let mut polled_workers = self
@@ -444,28 +458,29 @@
         }
     }
 
-    /// Tells the core which nodes' ways to the advice service can be used.
+    /// Tells the core which lanes, the nodes' connections to the advice service, can be used.
     pub fn set_lanes(&self) {
         let now = self.shared.now();
         let mut lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
         let known: HashSet<String> = lanes.iter().cloned().collect();
         let members = self.shared.members();
-        let news = members.iter().filter(|(name, _)| !known.contains(*name));
-        lanes.extend(news.map(|(name, _)| name.clone()));
-        let is_up = |name: &String| {
+        let new = members.iter().filter(|(name, _)| !known.contains(*name));
+        lanes.extend(new.map(|(name, _)| name.clone()));
+        let is_usable = |name: &String| {
             if *name == self.shared.name {
                 return self.shared.advisor.is_some();
             }
             let member = members.get(name);
             member.is_some_and(|member| member.was_heard(PEER_ALIVE_WINDOW, now) && !member.leaving)
         };
-        let flags: Vec<bool> = lanes.iter().map(is_up).collect();
+        let flags: Vec<bool> = lanes.iter().map(is_usable).collect();
         drop(members);
         drop(lanes);
         self.cell().set_lanes(&flags);
     }
 
-    /// The node whose lane this is; none for our own.
+    /// Returns the address of the node whose lane this is; none for our own lane, and for that of a
+    /// node that is no longer known.
     pub(super) fn lane_member(&self, lane: usize) -> Option<std::net::SocketAddr> {
         let name = {
             let lanes = self.lanes.lock().unwrap_or_else(PoisonError::into_inner);
@@ -478,9 +493,9 @@
     }
 }
 
-/// The label of a waiting time; queues beyond the third priority share one.
-fn wait_class(what: Milestone, priority: u32) -> &'static str {
-    match (what, priority) {
+/// Returns the metric's label for a waiting time.  Priorities from 2 on share one label.
+fn wait_label(until: Milestone, priority: u32) -> &'static str {
+    match (until, priority) {
         (Milestone::FirstStart, 0) => "first_start_p0",
         (Milestone::FirstStart, 1) => "first_start_p1",
         (Milestone::FirstStart, _) => "first_start_p2",
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! One node of a cell: takes jobs from callers, and owns the cell if it is its turn.
+//! One node of a cell: accepts jobs from callers, and owns the cell if it has won the election.
 //!
-//! `docs/DESIGN.md` explains how the nodes of a cell act together.
+//! `docs/DESIGN.md` explains how the nodes of a cell work together.
 
 pub mod cleaning;
 pub mod configuration;
