--- a/src/node/pace.rs
+++ b/src/node/pace.rs
@@ -1,44 +1,45 @@
-//! How often an owner decides.
+//! How often an owner runs scheduling rounds.
 //!
-//! What is decided has to be carried out as well, on the same processor.  An owner that spends what it
-//! has on rounds of decisions is late with the starts and the lists that come of them, so more waits in
-//! the next round, which takes longer.  So a round is followed by a pause that grows with it
-//! ("Rounds" in `docs/DESIGN.md`).
+//! The orders that come out of a round are carried out on the same processor.  An owner that spends
+//! its CPU time on rounds is late with starting tasks and with applying workers' lists, so more
+//! work waits in the next round, which then takes even longer.  Each round is therefore followed by
+//! a pause that grows with its length ("Rounds" in `docs/DESIGN.md`).
 
 use std::time::Duration;
 
 use crate::clock::Millis;
 
-/// Events that come within this time are decided on together.
+/// Minimum pause after a round, so that events within this time are handled in one round.
 pub const BATCH_WINDOW: Duration = Duration::from_millis(4);
-/// The pause after a round, in times of its length.
+/// The pause after a round, as a multiple of the round's length.
 const PAUSE_FACTOR: u32 = 3;
-/// No pause is longer than this, or than the round itself: urgent jobs have 0.9 s to spare.
+/// Maximum pause, unless the round itself took longer: urgent jobs have 0.9 s to spare.
 pub const MAX_PAUSE: Duration = Duration::from_millis(40);
 
-/// The pause after a round of decisions that took so long.
+/// Returns the pause after a scheduling round that took `round`.
 pub fn pause_after(round: Duration) -> Duration {
     let pause = (round * PAUSE_FACTOR).min(MAX_PAUSE.max(round));
     pause.max(BATCH_WINDOW)
 }
 
-/// What an owner has spent on deciding since the last survey.
+/// The time that an owner has spent on scheduling rounds since the last summary was logged.
 ///
-/// Jobs that are late while rounds take long or turns come late wait for the owner, and not for room.
+/// If jobs are late while rounds take long or the wake-up delay is high, they wait for the owner
+/// and not for room on workers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoundStats {
-    /// How many rounds of decisions.
+    /// The number of rounds.
     pub count: u32,
-    /// Milliseconds spent in them.
+    /// The time spent in them, in milliseconds.
     pub deciding: Millis,
     /// The longest of them, in milliseconds.
     pub longest: Millis,
-    /// Orders that came of them.
+    /// The number of orders given in them.
     pub orders: usize,
 }
 
 impl RoundStats {
-    /// Counts a round that took so long and gave so many orders.
+    /// Adds a round that took `took` milliseconds and gave this many orders.
     pub fn note(&mut self, took: Millis, orders: usize) {
         self.count += 1;
         self.deciding += took;
