--- a/src/node/summary.rs
+++ b/src/node/summary.rs
@@ -1,5 +1,5 @@
-//! What an owner logs each second: what waits, and for what, how the cell stands, and whether the owner
-//! keeps up with it.
+//! The log line that an owner writes once a second: how many tasks wait and for what, how much room
+//! is in use, the state of the workers, and whether the owner keeps up.
 
 use crate::cell::spec::Demand;
 use crate::cell::view::Waiting;
@@ -7,24 +7,27 @@
 use crate::clock::Millis;
 use crate::node::pace::RoundStats;
 
-/// What waits, and for what, how the cell stands, and whether its owner keeps up.
+/// What the owner logs about the cell and about itself.
 pub struct Summary {
     waiting: Waiting,
+    /// The room that runs take up.
     held: Demand,
+    /// The whole room of all workers.
     capacity: Demand,
     workers: WorkerCounts,
-    /// How old what is known of the workers' entries is.
+    /// How old the owner's knowledge of the workers' entries is, in milliseconds.
     workers_age: Millis,
     rounds: RoundStats,
-    /// What was done since the ownership began.
+    /// Counts since the ownership began.
     counts: Counts,
-    /// How late the owner's turns come, on the average.
-    late: Millis,
+    /// The average wake-up delay of the owner's timers, in milliseconds.
+    delay: Millis,
 }
 
 impl Summary {
-    /// Surveys a cell, of whose workers what is known is so old, and whose owner's turns come so late.
-    pub fn new(cell: &Cell, workers_age: Millis, rounds: RoundStats, late: Millis) -> Self {
+    /// Summarizes a cell.  `workers_age` says how old the knowledge of the workers' entries is, and
+    /// `delay` is the owner's average wake-up delay, both in milliseconds.
+    pub fn new(cell: &Cell, workers_age: Millis, rounds: RoundStats, delay: Millis) -> Self {
         let (held, capacity) = cell.room();
         Self {
             waiting: cell.waiting().clone(),
@@ -34,11 +37,11 @@
             workers_age,
             rounds,
             counts: cell.counts(),
-            late,
+            delay,
         }
     }
 
-    /// Logs it as one line.
+    /// Logs the summary as one line.
     pub fn log(&self) {
         let texts = self
             .waiting
@@ -56,7 +59,7 @@
             silent = self.workers.silent,
             parked = self.workers.parked,
             workers_age = self.workers_age,
-            late_ms = self.late,
+            late_ms = self.delay,
             rounds = self.rounds.count,
             deciding_ms = self.rounds.deciding,
             longest_round_ms = self.rounds.longest,
