--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -1,9 +1,10 @@
-//! How much a node can do, and whether it is behind with what it does.
+//! The CPU capacity of a node, and whether the node is overloaded.
 //!
-//! Whoever owns the cell speaks to every worker.  On a VM too weak for that, or slowed down,
-//! everything it does comes late, so strength decides who claims the cell and who gives
-//! it up (`node::election`).  With 350 workers and VMs of 0.12 and 0.5 of a core it made the
-//! difference between nothing and 0.94 of the worth on a day without faults (docs/DECISIONS.md).
+//! The owner of the cell calls every worker.  On a VM that is too weak for that, or slowed down,
+//! all its calls are late, so the strength of nodes decides which one claims the cell and which one
+//! gives it up (`node::election`).  With 350 workers and VMs of 0.12 and 0.5 of a core, this raised
+//! the share of the jobs' worth that was earned on a benchmark day without faults from nothing to
+//! 0.94 (docs/DECISIONS.md).
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,26 +13,26 @@
 use crate::clock::Millis;
 use crate::node::shared::Shared;
 
-/// How often the node looks how late it is.
+/// How often the wake-up delay is measured.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// The weight of the newest look, in percent: a look that is late by a second, as after a
-/// frozen process wakes, is forgotten after some ten looks.
+/// The weight of the newest measurement in the average, in percent.  A single delay of a second, as
+/// after the process was frozen, no longer matters after some ten measurements.
 const SAMPLE_WEIGHT: Millis = 20;
-/// A node whose turns come so late on the average is behind: urgent jobs have 0.9 s to
-/// spare, and an order goes through a handful of turns.
+/// A node with a higher average wake-up delay than this, in milliseconds, counts as overloaded.
+/// Urgent jobs have 0.9 s to spare, and an order takes a handful of wake-ups.
 const MAX_DELAY: Millis = 80;
 
-/// How much a node can do.
+/// The CPU capacity and the load of a node.
 #[derive(Debug)]
 pub struct Load {
-    /// Thousandths of a core that the VM gives.
+    /// The CPU capacity of the VM, in thousandths of a core.
     millicores: u32,
-    /// How late turns come, on the average.
+    /// The average wake-up delay, in milliseconds: how late the node's timers fire.
     delay: AtomicU64,
 }
 
 impl Load {
-    /// A node that is not behind, on a VM that gives `millicores`.
+    /// Creates the load of a node that is not overloaded, on a VM with a capacity of `millicores`.
     pub fn new(millicores: u32) -> Self {
         Self {
             millicores,
@@ -39,25 +40,26 @@
         }
     }
 
-    /// A turn came late by so much.
-    pub fn record_delay(&self, late: Millis) {
+    /// Adds a measured wake-up delay, in milliseconds, to the average.
+    pub fn record_delay(&self, delay: Millis) {
         let before = self.delay.load(Ordering::Relaxed);
-        let after = (before * (100 - SAMPLE_WEIGHT) + late * SAMPLE_WEIGHT) / 100;
+        let after = (before * (100 - SAMPLE_WEIGHT) + delay * SAMPLE_WEIGHT) / 100;
         self.delay.store(after, Ordering::Relaxed);
     }
 
-    /// How late turns come, on the average.
+    /// Returns the average wake-up delay, in milliseconds.
     pub fn average_delay(&self) -> Millis {
         self.delay.load(Ordering::Relaxed)
     }
 
-    /// Thousandths of a core that the VM gives, whether the node is behind or not.
+    /// Returns the CPU capacity of the VM in thousandths of a core, whether the node is overloaded
+    /// or not.
     pub fn millicores(&self) -> u32 {
         self.millicores
     }
 
-    /// Thousandths of a core that the node can spend on owning the cell; zero while it is
-    /// behind.
+    /// Returns how much CPU the node can spend on owning the cell, in thousandths of a core; zero
+    /// while it is overloaded.
     pub fn strength(&self) -> u32 {
         if self.average_delay() > MAX_DELAY {
             0
@@ -67,7 +69,7 @@
     }
 }
 
-/// Watches how late the node's turns come, until the process ends.
+/// Measures the node's wake-up delay until the process ends.
 pub async fn watch(shared: Arc<Shared>) {
     let mut behind = false;
     loop {
@@ -77,9 +79,9 @@
         shared
             .load
             .record_delay(took.saturating_sub(SAMPLE_INTERVAL.as_millis() as Millis));
-        let now_behind = shared.load.strength() == 0;
-        if now_behind != behind {
-            behind = now_behind;
+        let is_behind = shared.load.strength() == 0;
+        if is_behind != behind {
+            behind = is_behind;
             tracing::info!(
                 behind,
                 late_ms = shared.load.average_delay(),
