--- a/src/node/cleaning.rs
+++ b/src/node/cleaning.rs
@@ -1,9 +1,9 @@
-//! Dropping the rows of jobs that have ended.
+//! Deletes the rows of jobs that have ended.
 //!
-//! A successor reads every row, and callers ask for a job's state for a while after its
-//! end.  So the row of a job goes some seconds after its end is recorded, and that of its
-//! progress, which then holds nothing but the end, goes some minutes later together with
-//! what the owner has in memory.
+//! A successor reads every row, so few should be left; but callers ask for a job's state for a
+//! while after its end.  The row of a job is therefore deleted some seconds after its end is
+//! recorded.  The row of its progress, which then holds nothing but the end, is deleted some
+//! minutes later, together with what the owner has in memory.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,26 +13,29 @@
 use crate::node::shared::PARTITION;
 use crate::store::{Row, RowKey, StoreCall, StoreError, Table, Transaction};
 
-/// How often rows are dropped: each round costs a call for each partition in use.
+/// How often rows are deleted, in milliseconds: each time costs one call per partition in use.
 const CLEAN_INTERVAL: Millis = 3_000;
-/// The most rows in one transaction; the store takes 100 entries.
+/// Maximum number of rows in one transaction; the store accepts 100 entries.
 const MAX_ROWS: usize = 100;
-/// How long the end of a job is kept after its row was dropped.  Callers may ask for 120 s;
-/// a doubtful write of the row, which may come some seconds late, must find the end.
+/// How long the end of a job is kept after the job's row was deleted, in milliseconds.  Callers may
+/// ask for the state for 120 s.  A write of the row whose result is unknown may also take effect
+/// some seconds late, and the job must then still be known to have ended.
 pub const END_RETENTION: Millis = 300_000;
 
-/// Knows which rows are still to be dropped.
+/// Keeps track of the rows that are still to be deleted.
 #[derive(Debug, Default)]
 pub struct Cleaner {
-    /// Rows of jobs, by partition.
+    /// Jobs that have a row, by the partition of the row.
     rows: HashMap<String, Vec<JobId>>,
-    /// Jobs whose rows are gone, with the time since when, the oldest first.
+    /// Ended jobs whose own rows are deleted, each with the time from which its end is kept; the
+    /// oldest first.
     ended: VecDeque<(Millis, JobId)>,
-    cleaned: Millis,
+    /// When rows were last deleted.
+    last_cleaned: Millis,
 }
 
 impl Cleaner {
-    /// Notes where rows lie.
+    /// Adds rows of jobs, to be deleted once the jobs have ended.
     pub fn add_rows(&mut self, rows: &[Row]) {
         for row in rows.iter().filter(|row| !row.dropped) {
             if let Ok(id) = row.key.parse() {
@@ -41,58 +44,59 @@
         }
     }
 
-    /// Notes jobs that ended under a former owner and have no row any more.
+    /// Adds jobs that ended under a former owner and have no row of their own any more.
     pub fn add_ended(&mut self, ids: impl IntoIterator<Item = JobId>, now: Millis) {
         self.ended.extend(ids.into_iter().map(|id| (now, id)));
     }
 
-    /// Drops what is over, if it is time.
+    /// Deletes the rows that are no longer needed, once per `CLEAN_INTERVAL`.
     pub async fn clean(&mut self, engine: &Engine) {
         let now = engine.shared.now();
-        if self.cleaned + CLEAN_INTERVAL > now {
+        if self.last_cleaned + CLEAN_INTERVAL > now {
             return;
         }
-        self.cleaned = now;
-        self.drop_jobs(engine, now).await;
-        self.drop_ends(engine, now).await;
+        self.last_cleaned = now;
+        self.delete_job_rows(engine, now).await;
+        self.delete_ends(engine, now).await;
     }
 
-    async fn drop_jobs(&mut self, engine: &Engine, now: Millis) {
+    async fn delete_job_rows(&mut self, engine: &Engine, now: Millis) {
         for (partition, ids) in &mut self.rows {
-            let over: Vec<JobId> = ids
+            let ended: Vec<JobId> = ids
                 .iter()
                 .copied()
                 .filter(|&id| engine.is_end_recorded(id))
                 .take(MAX_ROWS)
                 .collect();
-            match drop_rows(engine, Table::Jobs, partition, &over).await {
+            match delete_rows(engine, Table::Jobs, partition, &ended).await {
                 Ok(()) => {
-                    ids.retain(|id| !over.contains(id));
-                    self.ended.extend(over.into_iter().map(|id| (now, id)));
+                    ids.retain(|id| !ended.contains(id));
+                    self.ended.extend(ended.into_iter().map(|id| (now, id)));
                 }
-                Err(err) => tracing::debug!(%err, partition, "rows are dropped later"),
+                Err(err) => tracing::debug!(%err, partition, "cannot delete rows of jobs yet"),
             }
         }
     }
 
-    async fn drop_ends(&mut self, engine: &Engine, now: Millis) {
+    async fn delete_ends(&mut self, engine: &Engine, now: Millis) {
         let old = self
             .ended
             .iter()
             .take_while(|(since, _)| since + END_RETENTION <= now);
-        let over: Vec<JobId> = old.map(|(_, id)| *id).take(MAX_ROWS).collect();
-        match drop_rows(engine, Table::Progress, PARTITION, &over).await {
+        let expired: Vec<JobId> = old.map(|(_, id)| *id).take(MAX_ROWS).collect();
+        match delete_rows(engine, Table::Progress, PARTITION, &expired).await {
             Ok(()) => {
-                self.ended.drain(..over.len());
-                let busy = over.into_iter().filter(|&id| !engine.forget(id));
+                self.ended.drain(..expired.len());
+                // A job of which something may still run is kept for another period.
+                let busy = expired.into_iter().filter(|&id| !engine.forget(id));
                 self.ended.extend(busy.map(|id| (now, id)));
             }
-            Err(err) => tracing::debug!(%err, "ends are dropped later"),
+            Err(err) => tracing::debug!(%err, "cannot delete ends of jobs yet"),
         }
     }
 }
 
-async fn drop_rows(
+async fn delete_rows(
     engine: &Engine,
     table: Table,
     partition: &str,
