--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the core orders: starts, stops, looks, questions.
+//! Carries out the core's orders (starts, stops, advice questions), and polls the workers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,28 +12,29 @@
 use crate::node::links::Tickets;
 use crate::rpc::node::{NodeCall, NodeReply};
 
-/// The pause after a first look that brought nothing: its answer may just be lost.
+/// The pause after the first failed poll in a row, of which only the answer may have been lost.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// The pause after further ones.
+/// The pause after each further failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Ends wait at most so long to be recorded before the worker is looked at again.
+/// How long a worker's next poll is put off at most while its ends wait to be recorded.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(400);
-/// The pause between two looks at a worker that lists ends which wait for their jobs to be
-/// read: it does not wait for further ends, and urgent jobs have 0.9 s to spare.
+/// The pause between two polls of a worker that lists held ends, whose jobs are not read yet.  Such
+/// a poll returns at once, without waiting for further ends.  Urgent jobs have 0.9 s to spare.
 const HELD_ENDS_PAUSE: Duration = Duration::from_millis(100);
-/// The least time between two looks at a worker, so that ends which come close
-/// together cost one look.
+/// Minimum pause between two polls of a worker, so that ends in quick succession cost one poll.
 const POLL_PAUSE: Duration = Duration::from_millis(15);
-/// A look of the worker's own loop waits as long as the core wants.
-const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
-/// What a question through another node may take beyond its expected time.
+/// Maximum time for which a poll from a worker's loop waits for an end.  It is above
+/// `tuning::MAX_POLL_WAIT`, so that the core alone decides how long the poll waits.
+const POLL_WAIT_LIMIT: Duration = Duration::from_secs(2);
+/// How much longer than expected an advice question may take, also through another node, in
+/// milliseconds.
 const ADVICE_SLACK: Millis = 500;
 
-/// What became of a look.
+/// The outcome of a poll.
 enum PollResult {
     Answered,
     Failed,
-    /// The core does not know the worker any more.
+    /// The core no longer knows the worker.
     Gone,
 }
 
@@ -64,9 +65,10 @@
         match (answer, order.run) {
             (Ok(()), Some(run)) => {
                 self.cell().stop_confirmed(run);
-                let settles = self.cell().is_doubtful(run);
-                if settles {
-                    // The turn of the worker's own loop may wait for an end.
+                let is_doubtful = self.cell().is_doubtful(run);
+                if is_doubtful {
+                    // Poll now to find out whether the run has started: the poll of the worker's
+                    // own loop may be waiting for an end.
                     self.poll_worker(order.to.worker, Duration::ZERO).await;
                 }
             }
@@ -102,8 +104,8 @@
         let limit = order.expected + ADVICE_SLACK;
         let Some(address) = self.lane_member(order.lane) else {
             let advisor = self.shared.advisor.as_ref()?;
-            let asking = advisor.advise(&step, &workers);
-            return tokio::time::timeout(Duration::from_millis(limit), asking)
+            let answer = advisor.advise(&step, &workers);
+            return tokio::time::timeout(Duration::from_millis(limit), answer)
                 .await
                 .ok()
                 .flatten();
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Looks at one worker again and again, until it is gone or the ownership ends.
+    /// Polls one worker repeatedly until it is gone or the ownership ends.
     pub(super) async fn poll_loop(self: Arc<Self>, key: WorkerKey) {
         let mut failures = 0;
         loop {
@@ -126,9 +128,9 @@
             if self.cell().is_parked(key) {
                 self.wait_until_unparked(key).await;
             }
-            match self.poll_worker(key, MAX_POLL_WAIT).await {
+            match self.poll_worker(key, POLL_WAIT_LIMIT).await {
                 PollResult::Gone => {
-                    // Another life may have taken its place, and waits for its first look.
+                    // Another life may have taken its place, which needs a poll loop of its own.
                     self.poll_new_workers();
                     return;
                 }
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Looks at a worker once; the look may wait for an end, but no longer than `max_wait`.
+    /// Polls a worker once.  The poll may wait for an end, but no longer than `max_wait`.
     async fn poll_worker(&self, key: WorkerKey, max_wait: Duration) -> PollResult {
         let sent = self.shared.now();
         let Some(mut order) = self.cell().poll_order(key, sent) else {
@@ -161,12 +163,12 @@
         let now = self.shared.now();
         match answer {
             Ok(report) => {
-                let news = !report.ended.is_empty() || order.due.is_none();
+                let has_news = !report.ended.is_empty() || order.due.is_none();
                 self.cell().poll_answered(&order, &report, now);
-                if news {
+                if has_news {
                     self.record.notify_one();
                 }
-                if news || max_wait.is_zero() {
+                if has_news || max_wait.is_zero() {
                     self.wake.notify_one();
                 }
                 PollResult::Answered
@@ -182,7 +184,8 @@
         }
     }
 
-    /// Ends that are not recorded would come again at once, so their record is awaited.
+    /// Pauses before the next poll of a worker.  Waits until its ends are recorded, since the
+    /// worker would list them again at once otherwise.
     async fn pause_after_poll(&self, key: WorkerKey) {
         tokio::time::sleep(POLL_PAUSE).await;
         let recorded = async {
@@ -194,7 +197,7 @@
                 recorded.await;
             }
         };
-        // If the store is away the worker is looked at all the same.
+        // The worker is polled all the same if the store is unavailable.
         let _ = tokio::time::timeout(RECORD_TIMEOUT, recorded).await;
         if self.cell().holds_ends(key) {
             tokio::time::sleep(HELD_ENDS_PAUSE).await;
