--- a/src/node/policy.rs
+++ b/src/node/policy.rs
@@ -1,7 +1,8 @@
-//! The policy program that an operator has set: one row, followed by the owner.
+//! The policy program that an operator has set, which is kept in one row of the store.
 //!
-//! Only the owner runs it, so other nodes need not follow it.  A successor reads it
-//! with the rest of the cell; while the store is away the last one stays in force.
+//! Only the owner runs the program, so other nodes do not follow the row.  A successor reads it
+//! when its ownership begins.  While the store is unavailable, the program that was read last stays
+//! in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,40 +15,40 @@
 use crate::store::{self, RowKey, StoreCall, StoreError, StoreReply, Table, Transaction, Version};
 
 /// The key of the row.
-const KEY: &str = "policy";
-/// How often the owner reads the row: a change must be in force within 6 s, and a read
-/// costs what a look at a worker does.
-const POLL: Duration = Duration::from_millis(2_000);
+const ROW_KEY: &str = "policy";
+/// How often the owner reads the row: a change must be in force within 6 s, and a read costs as
+/// much as a poll of a worker.
+const POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// A policy as it is kept.
+/// A policy as it is stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyRow {
-    /// The program.
+    /// The source text of the program.
     pub source: String,
     /// The note of the operator who set it.
     #[serde(default)]
     pub note: String,
 }
 
-/// What became of a change.
+/// The outcome of an attempt to change the policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It is durable as this version.
+    /// The new policy is durable, as this version.
     Set(Version),
-    /// Another change came first.
+    /// Another change came first: the expected version is not the one in force.
     Conflict,
-    /// Nothing was changed.
+    /// The policy was not changed, because the store is unavailable or rejected the change.
     Unavailable,
-    /// It may have been set.
+    /// It is unknown whether the new policy was set.
     Unconfirmed,
 }
 
-/// Reads the policy and its version; version zero stands for the built-in one.
+/// Reads the policy and its version; version zero stands for the built-in policy.
 ///
 /// # Errors
-/// See [`StoreError`].
+/// See [`StoreError`]; [`StoreError::Malformed`] also if the row cannot be parsed.
 pub async fn read(shared: &Arc<Shared>) -> Result<(Version, PolicyRow), StoreError> {
-    let call = StoreCall::row(Table::Cells, PARTITION, KEY);
+    let call = StoreCall::row(Table::Cells, PARTITION, ROW_KEY);
     let StoreReply::Rows { rows, .. } = shared.store(call).await? else {
         return Err(StoreError::Malformed);
     };
@@ -57,7 +58,7 @@
     match serde_json::from_str(&row.value) {
         Ok(policy) => Ok((row.version, policy)),
         Err(err) => {
-            tracing::error!(%err, version = row.version, "the policy's row cannot be read");
+            tracing::error!(%err, version = row.version, "cannot parse the row of the policy");
             Err(StoreError::Malformed)
         }
     }
@@ -65,22 +66,28 @@
 
 /// Sets a policy if `expected` is the version in force.
 pub async fn set(shared: &Arc<Shared>, row: &PolicyRow, expected: Version) -> Change {
-    let key = RowKey::new(Table::Cells, PARTITION, KEY);
+    let key = RowKey::new(Table::Cells, PARTITION, ROW_KEY);
     let mut tx = Transaction::default();
     tx.expected.push((key.clone(), expected));
     tx.puts.push((key, store::encode(row)));
     let change = match shared.store(StoreCall::Commit(tx)).await {
         Ok(StoreReply::Committed(version)) => Change::Set(version),
-        // An earlier try whose answer was lost may have taken effect.
-        Ok(StoreReply::Conflict(_)) => settle(shared, row, expected, Change::Conflict).await,
+        // An earlier attempt whose answer was lost may have taken effect.
+        Ok(StoreReply::Conflict(_)) => check_applied(shared, row, expected, Change::Conflict).await,
         Err(StoreError::Unavailable | StoreError::Rejected(_)) => Change::Unavailable,
-        _ => settle(shared, row, expected, Change::Unconfirmed).await,
+        _ => check_applied(shared, row, expected, Change::Unconfirmed).await,
     };
-    tracing::info!(expected, ?change, note = row.note, "policy is changed");
+    tracing::info!(
+        expected,
+        ?change,
+        note = row.note,
+        "attempt to change the policy"
+    );
     change
 }
 
-async fn settle(
+/// Reads the policy to find out whether a change took effect, and returns `otherwise` if not.
+async fn check_applied(
     shared: &Arc<Shared>,
     row: &PolicyRow,
     expected: Version,
@@ -102,9 +109,9 @@
                     self.adopt_policy(version, &row);
                 }
                 Ok(_) => {}
-                Err(err) => tracing::debug!(%err, in_force, "the policy cannot be read"),
+                Err(err) => tracing::debug!(%err, in_force, "cannot read the policy"),
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -118,7 +125,7 @@
                 self.wake.notify_one();
             }
             Err(err) => {
-                tracing::error!(%err, version, "policy is not taken; the former one stays");
+                tracing::error!(%err, version, "invalid policy program; keeping the former one");
                 self.shared.metrics.event("unreadable_policy");
             }
         }
