--- a/src/node/store_latency.rs
+++ b/src/node/store_latency.rs
@@ -1,89 +1,92 @@
-//! How long to wait for the store to answer a transaction.
+//! How fast the store answers transactions, and how long to wait for an answer.
 //!
-//! Some replies are lost.  A transaction that is repeated soon costs little, since it
-//! names the versions it expects; waiting the longest time for each lost reply costs
-//! callers their deadline.  So the limit follows the answers that do come.
+//! Some answers are lost.  To repeat a transaction early is cheap and safe, since it names the
+//! versions that it expects; to wait for the maximum time after each lost answer would make callers
+//! miss their deadlines.  So the timeout follows the latency of the answers that arrive.
 
 use crate::clock::Millis;
 
-/// The least limit: thirty times what an answer takes on an ordinary day.
+/// Minimum timeout, in milliseconds: thirty times the usual latency of an answer.
 pub const MIN_TIMEOUT: Millis = 200;
-/// The greatest limit: an answer of a store that is ninety times slower takes 0.9 s.
+/// Maximum timeout, in milliseconds: a store that is ninety times slower answers within 0.9 s.
 pub const MAX_TIMEOUT: Millis = 1_200;
-/// An answer may take so many times as long as the last ones.
-const SPREAD: Millis = 6;
-/// After an answer the limit falls to no less than this part, in hundredths.
-const FALL: Millis = 80;
+/// The timeout after an answer, as a multiple of the latency of that answer.
+const LATENCY_FACTOR: Millis = 6;
+/// An answer lowers the timeout to no less than this share of its value, in percent.
+const MIN_KEPT_PERCENT: Millis = 80;
 
-/// Beyond this limit the store is slow: an answer takes ten times the usual.
-const SLOW: Millis = 400;
-/// A store that has answered nothing for so long, while transactions are on their way,
-/// counts as slow before the first late answer tells: eight times the usual.
-const SILENT: Millis = 100;
+/// Above this timeout, in milliseconds, the store counts as slow: answers take ten times as long as
+/// usual.
+const SLOW_TIMEOUT: Millis = 400;
+/// A store that has answered nothing for this time, in milliseconds, while transactions are in
+/// flight counts as slow already before its first late answer.  It is eight times the usual
+/// latency.
+const SILENCE_LIMIT: Millis = 100;
 
-/// The limit, as it stands, and what is on its way.
+/// The present timeout, and the transactions in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreLatency {
     timeout: Millis,
-    /// Transactions that wait for an answer.
-    on_their_way: usize,
-    /// Since when they wait without any of them being answered.
-    silent_since: Millis,
-    /// When the last answer came; none if there was none.
-    answered: Option<Millis>,
+    /// The number of transactions that wait for an answer.
+    in_flight: usize,
+    /// The time since which transactions have been in flight and none was answered.
+    unanswered_since: Millis,
+    /// When the last answer arrived; none if there was none.
+    last_answer: Option<Millis>,
 }
 
 impl Default for StoreLatency {
     fn default() -> Self {
         Self {
             timeout: 2 * MIN_TIMEOUT,
-            on_their_way: 0,
-            silent_since: 0,
-            answered: None,
+            in_flight: 0,
+            unanswered_since: 0,
+            last_answer: None,
         }
     }
 }
 
 impl StoreLatency {
-    /// How long to wait now.
+    /// Returns how long to wait for the answer to a transaction, in milliseconds.
     pub fn timeout(&self) -> Millis {
         self.timeout
     }
 
-    /// Tells whether the store is slow, or may have turned so just now.
+    /// Returns whether the store is slow, or may just have become slow.
     pub fn is_slow(&self, now: Millis) -> bool {
-        let silent = self.on_their_way > 0 && now.saturating_sub(self.silent_since) > SILENT;
-        silent || self.timeout > SLOW
+        let silent =
+            self.in_flight > 0 && now.saturating_sub(self.unanswered_since) > SILENCE_LIMIT;
+        silent || self.timeout > SLOW_TIMEOUT
     }
 
-    /// Tells whether the store takes long and does answer, so that waiting is worth while.
+    /// Returns whether the store is slow but does answer, so that it is worth while to wait.
     pub fn answers_slowly(&self, now: Millis) -> bool {
-        let lately = |at: Millis| now.saturating_sub(at) < MAX_TIMEOUT;
-        self.timeout > SLOW && self.answered.is_some_and(lately)
+        let is_recent = |at: Millis| now.saturating_sub(at) < MAX_TIMEOUT;
+        self.timeout > SLOW_TIMEOUT && self.last_answer.is_some_and(is_recent)
     }
 
-    /// A transaction is sent.
+    /// Notes that a transaction is sent.
     pub fn note_sent(&mut self, now: Millis) {
-        if self.on_their_way == 0 {
-            self.silent_since = now;
+        if self.in_flight == 0 {
+            self.unanswered_since = now;
         }
-        self.on_their_way += 1;
+        self.in_flight += 1;
     }
 
-    /// A transaction is over, with an answer or without.
+    /// Notes that a transaction is no longer waited for, whether it was answered or not.
     pub fn note_finished(&mut self) {
-        self.on_their_way -= 1;
+        self.in_flight -= 1;
     }
 
-    /// An answer came after `took`.
+    /// Notes that an answer arrived after `took` milliseconds.
     pub fn note_answer(&mut self, took: Millis, now: Millis) {
-        self.silent_since = now;
-        self.answered = Some(now);
-        let wanted = (SPREAD * took).clamp(MIN_TIMEOUT, MAX_TIMEOUT);
-        self.timeout = wanted.max(self.timeout * FALL / 100);
+        self.unanswered_since = now;
+        self.last_answer = Some(now);
+        let target = (LATENCY_FACTOR * took).clamp(MIN_TIMEOUT, MAX_TIMEOUT);
+        self.timeout = target.max(self.timeout * MIN_KEPT_PERCENT / 100);
     }
 
-    /// No answer came within the limit.
+    /// Notes that no answer arrived within the timeout.
     pub fn note_timeout(&mut self) {
         self.timeout = (2 * self.timeout).min(MAX_TIMEOUT);
     }
