--- a/src/node/process.rs
+++ b/src/node/process.rs
@@ -1,4 +1,4 @@
-//! Putting a node together and running it to its end.
+//! Creates a node, and runs it until the process is told to terminate.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,28 +20,29 @@
 use crate::node::{configuration, election};
 use crate::rpc::node as rpc;
 
-/// After the order to end, callers are served so long: the balancer needs two
-/// questions of a second each to notice.
+/// How long callers are still served after the signal to terminate: the load balancer needs two
+/// health checks, of a second each, to notice.
 pub const DRAIN_TIME: Duration = Duration::from_millis(2_300);
 
-/// How often a leaving node looks whether its last request is answered.
+/// How often a node that shuts down checks whether its last request is answered.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the last requests may take: the platform ends a process after 6 s.
+/// Time limit for the last requests: the platform kills a process after 6 s.
 const LAST_REQUESTS_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A node that runs.
+/// A node of the cell.
 pub struct Node {
-    /// What callers and other nodes see.
+    /// Serves callers and other nodes.
     pub front: Arc<Frontend>,
     /// Carries calls to other nodes; must run inside a `LocalSet`.
     pub driver: rpc::RpcNodeDriver,
 }
 
 impl Node {
-    /// Makes a node that other nodes reach at `address`; `links` is told the way to them.
+    /// Creates a node that other nodes reach at `address`.  `links` gets the link that carries
+    /// calls to the other nodes, and returns the links that the node uses.
     ///
     /// # Errors
-    /// Fails if a collector of metrics cannot be registered.
+    /// Fails if a metrics collector cannot be registered.
     pub fn new(
         settings: &Settings,
         address: SocketAddr,
@@ -82,11 +83,11 @@
     }
 }
 
-/// Waits for the order to end, then hands the cell over and goes on serving until
-/// new callers go elsewhere and the last request is answered.
+/// Waits for `SIGTERM`, then gives the cell up if this node owns it, and goes on serving until new
+/// callers go to other nodes and the last request is answered.  Calls `reload` for each `SIGHUP`.
 ///
 /// # Errors
-/// Fails if signals cannot be listened for.
+/// Fails if the signal handlers cannot be installed.
 pub async fn run_until_terminated(front: &Frontend, reload: impl Fn()) -> std::io::Result<()> {
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     let mut hangup = unix::signal(unix::SignalKind::hangup())?;
@@ -96,7 +97,7 @@
             _ = hangup.recv() => reload(),
         }
     }
-    tracing::info!("node is told to end");
+    tracing::info!("node is shutting down");
     front.shared.set_leaving();
     tokio::join!(
         election::hand_over(&front.shared),
@@ -110,14 +111,15 @@
     let finished = tokio::time::timeout(LAST_REQUESTS_TIMEOUT, idle)
         .await
         .is_ok();
-    tracing::info!(finished, "node ends");
+    tracing::info!(finished, "node has shut down");
     Ok(())
 }
 
-/// Binds an address and tells the one in use, which differs if any port would do.
+/// Binds an address, and returns the listener with the address in use, which has another port if
+/// port 0 (any free one) was given.
 ///
 /// # Errors
-/// Names the address that cannot be bound.
+/// Returns [`Error::Listen`] with the address if that cannot be bound.
 pub async fn bind(address: SocketAddr) -> Result<(TcpListener, SocketAddr)> {
     let failed = |source| Error::Listen { address, source };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
