--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -1,4 +1,4 @@
-//! How a node stands, for people.
+//! The status of a node, for operators.
 
 use std::sync::Arc;
 
@@ -8,52 +8,52 @@
 use crate::evacuation::Halls;
 use crate::node::front::Frontend;
 
-/// Another node, as this one knows it.
+/// What this node knows of another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// Where it answers other nodes.
+    /// The address at which it answers other nodes.
     pub address: String,
-    /// How long ago it was heard; none if it never was.
+    /// Milliseconds since it was last heard; none if it never was.
     pub heard_ms_ago: Option<Millis>,
-    /// Its own way to the store works, as it last said.
+    /// It reaches the store directly, as it last reported.
     pub reaches_store: bool,
-    /// It is about to end.
+    /// It is shutting down.
     pub leaving: bool,
-    /// The version of its configuration.
+    /// The version of its configuration, as it last reported.
     pub configuration: u64,
 }
 
-/// A queue with what waits in it.
+/// A queue and the number of jobs that wait in it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueStatus {
-    /// Its name.
+    /// The name of the queue.
     pub name: String,
     /// Its priority in the configuration.
     pub priority: u32,
-    /// Jobs of which nothing has begun; none if the owner was not heard of late.
+    /// The number of jobs of which no task has started; none if the owner was not heard recently.
     pub pending: Option<u32>,
 }
 
-/// How a node stands.
+/// The status of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its name.
+    /// The name of the node.
     pub node: String,
-    /// It takes work.
+    /// It accepts jobs.
     pub ready: bool,
     /// It owns the cell.
     pub owns: bool,
-    /// The highest epoch that it knows.
+    /// The highest epoch that it has learnt of.
     pub epoch: u64,
-    /// Where the owner of that epoch answers, if it is known.
+    /// The address at which the owner of that epoch answers other nodes; none if it is not known.
     pub owner: Option<String>,
-    /// Its own way to the store works.
+    /// It reaches the store directly.
     pub reaches_store: bool,
     /// The version of the configuration in force.
     pub configuration: u64,
-    /// The evacuated halls; none if that could not be read yet.
+    /// The evacuated data halls; none if they could not be read yet.
     #[serde(default)]
     pub evacuated: Option<Halls>,
     /// The other nodes.
@@ -63,7 +63,7 @@
 }
 
 impl Frontend {
-    /// Tells how this node stands.
+    /// Returns the status of this node.
     pub fn status(&self) -> NodeStatus {
         let shared = &self.shared;
         let now = shared.now();
