--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -1,4 +1,5 @@
-//! What a node needs from outside: workers, advice, and the meaning of rows.
+//! What a platform provides for a node, besides the store: calls to workers, the advice service,
+//! and a decoder for the rows that the platform writes.
 
 use futures::future::BoxFuture;
 
@@ -9,56 +10,65 @@
 use crate::clock::Millis;
 use crate::queue::Configuration;
 
-/// Gives orders to workers.
+/// Sends orders to workers and polls them.
 pub trait Workers: Send + Sync {
-    /// Starts a run; also returns the worker's clock, if the answer told it.
+    /// Orders a worker to start a run.  Also returns the worker's clock, in milliseconds, if the
+    /// answer contains it.
     fn start<'a>(&'a self, order: &'a StartOrder) -> BoxFuture<'a, (StartOutcome, Option<Millis>)>;
 
-    /// Stops a run.  `Ok` confirms that it ends soon or never begins.
+    /// Orders a worker to stop a run.  `Ok` confirms that the run ends soon or never begins.
+    ///
+    /// # Errors
+    /// Returns the worker's refusal, or none if no answer came.
     fn stop<'a>(&'a self, order: &'a StopOrder) -> BoxFuture<'a, Result<(), Option<Refusal>>>;
 
-    /// Looks at a worker and renews its lease.
+    /// Polls a worker for its runs and ends, and renews the lease of its runs.
+    ///
+    /// # Errors
+    /// See [`PollFailure`].
     fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>>;
 }
 
-/// Workers that may run a step, each with the ticket that a start must bring.
+/// The ids of workers that may run a step, each with the ticket that a start there must carry.
 pub type Tickets = Vec<(String, String)>;
 
-/// Asks which workers may run a step.
+/// Asks the advice service which workers may run a step.
 pub trait Advisor: Send + Sync {
-    /// Asks about `workers` and waits for the answer; none if there is none.
+    /// Asks which of `workers` may run the step.  Returns none if no usable answer came.
     fn advise<'a>(&'a self, step: &'a str, workers: &'a [String])
     -> BoxFuture<'a, Option<Tickets>>;
 }
 
-/// The value of a row cannot be understood.
+/// The value of a row cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("the row cannot be read: {0}")]
+#[error("cannot decode the row: {0}")]
 pub struct DecodeError(pub String);
 
-/// Reads the rows that others write.
+/// Decodes the rows that the platform and operators write.
 pub trait Decoder: Send + Sync {
-    /// Reads a worker's entry; `id` is the key of the row.
+    /// Decodes a worker's entry; `id` is the key of the row.
     ///
     /// # Errors
     /// Fails if the value is not an entry.
     fn worker(&self, id: &str, value: &str) -> Result<WorkerEntry, DecodeError>;
 
-    /// The key of the row that holds the configuration.
+    /// Returns the key of the row that holds the configuration.
     fn configuration_key(&self) -> &'static str;
 
-    /// Reads the configuration.
+    /// Decodes the configuration.
     ///
     /// # Errors
     /// Fails if the value is not a configuration.
     fn configuration(&self, value: &str) -> Result<Configuration, DecodeError>;
 
-    /// How the keys of the operator's rows about evacuated halls begin; the hall's name follows.
+    /// Returns the prefix of the keys of an operator's rows about evacuated data halls; the name of
+    /// the hall follows it.
     fn evacuation_prefix(&self) -> &'static str;
 
-    /// Checks the value of such a row, of which the presence says all.
+    /// Checks the value of a row about an evacuated hall.  The presence of the row alone says that
+    /// the hall is evacuated.
     ///
     /// # Errors
-    /// Fails if the value is not that of such a row.
+    /// Fails if the value is not valid for such a row.
     fn evacuation(&self, value: &str) -> Result<(), DecodeError>;
 }
