--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -94,7 +94,7 @@
     /// transaction of this `version`.
     ///
     /// # Errors
-    /// Fails if the store cannot be read.  The claim remains valid, so the cell may be loaded again.
+    /// Fails if the store cannot be read.  The claim remains valid, so loading may be tried again.
     pub async fn start(
         shared: &Arc<Shared>,
         epoch: u64,
@@ -183,8 +183,8 @@
         self.confirmed_at.fetch_max(sent, Ordering::Relaxed);
     }
 
-    /// Notes that most nodes have said, after `sent`, that they do not reach the store, so that none
-    /// of them can have claimed the cell.
+    /// Notes that most nodes have said, after `sent`, that they do not reach the store, so that
+    /// none of them can have claimed the cell.
     pub(super) fn confirm_by_peers(&self, sent: Millis) {
         self.confirmed_at.fetch_max(sent, Ordering::Relaxed);
     }
@@ -304,9 +304,9 @@
     ///
     /// If the job may end at any moment, waits up to `END_WAIT` for the end.  Callers ask just
     /// after their last task has ended, some 40 ms before that is recorded.  They would ask again
-    /// only a quarter of a second later, which is all that urgent jobs have to spare.  In the median
-    /// the time from a job's last end to the answer that reports it is 0.07 s, and 0.26 s without
-    /// this wait.
+    /// only a quarter of a second later, which is all that urgent jobs have to spare.  In the
+    /// median the time from a job's last end to the answer that reports it is 0.07 s, and 0.26 s
+    /// without this wait.
     pub async fn state_or_end(&self, id: JobId) -> Option<JobState> {
         let until = tokio::time::Instant::now() + END_WAIT;
         loop {
