--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -38,8 +38,8 @@
 /// of heartbeats and the time limit of one, since one of the two may be late.
 pub(super) const PEER_ALIVE_WINDOW: Millis =
     2 * heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
-/// How long the answer to a request for the state of a job waits for the job's end: three times the time that
-/// it takes to learn of an end and record it.
+/// How long the answer to a request for the state of a job waits for the job's end: three times the
+/// time that it takes to learn of an end and record it.
 const END_WAIT: Duration = Duration::from_millis(120);
 /// Time limit for recording a cancellation: callers wait 3 s for an answer.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(2_200);
