--- a/src/node/intake.rs
+++ b/src/node/intake.rs
@@ -1,7 +1,7 @@
-//! Making accepted jobs durable.
+//! Makes accepted jobs durable by writing their rows to the store.
 //!
-//! Jobs that come while a transaction is on its way go together into the next
-//! (`node::job_batch`).
+//! Jobs that arrive while earlier transactions are in flight are collected into one batch, which
+//! `node::job_batch` writes in a single transaction.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,186 +11,202 @@
 
 use crate::cell::record::JobRow;
 use crate::clock::Millis;
-use crate::node::job_batch::{self, Batch, MAX_SLOW_STORE_WRITERS, Plan, SLOW_STORE_BATCHES};
+use crate::node::job_batch::{self, Batch, MAX_SLOW_STORE_WRITERS, SLOW_STORE_BATCHES, WritePlan};
 use crate::node::shared::Shared;
 use crate::rpc::PeerError;
 use crate::rpc::node::{NodeCall, NodeReply};
 
-/// How many jobs may wait for the next transaction: seconds of a burst.
+/// How many jobs may wait to be written: enough for a burst of some seconds.  Further ones are
+/// refused.
 const QUEUE_LENGTH: usize = 512;
-/// The most jobs in one transaction; the store takes 100 entries.
-const MOST_JOBS: usize = 90;
-/// No job is added to a transaction that holds so many bytes: the store takes 1 MB, a row
-/// is below 64 KB, and the platform's form makes three bytes four.
-const MOST_BYTES: usize = 600_000;
-/// How many transactions may be on their way at once, each in another partition.
-const LANES: usize = 4;
-/// How long a node may take to write another's jobs: as long as doubts are settled, and
-/// a hop between halls.
-const HAND_ON_TIMEOUT: Millis = 2_200;
-
-/// What became of a job that a caller handed in.
+/// The most jobs in one transaction; the store accepts 100 rows.
+const MAX_JOBS: usize = 90;
+/// No job is added to a transaction that already holds this many bytes of rows.  The store accepts
+/// 1 MB; one more row adds up to 64 KB, and the platform's encoding turns three bytes into four.
+const MAX_BYTES: usize = 600_000;
+/// How many batches may be written at once, each into a different partition.
+const MAX_CONCURRENT_BATCHES: usize = 4;
+/// Time limit for another node to write a forwarded job, in milliseconds: the time for which a
+/// batch is retried (`node::job_batch`), and a round trip between data halls.
+const FORWARD_TIMEOUT: Millis = 2_200;
+
+/// The outcome of submitting a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is kept, now or since before.
+    /// The job is durable, through this submission or an earlier one.
     Accepted,
-    /// It was not taken and never will be.
+    /// The job was not accepted, and it will not be unless it is submitted again.
     Refused,
-    /// It may have been taken; the caller should hand it in again.
+    /// The job may have been accepted; the caller should submit it again.
     Doubtful,
-    /// It was not taken: even alone, one of its tasks or gangs is above the cap of its workspace.
+    /// The job was not accepted: even alone, one of its tasks or gangs exceeds the cap of its
+    /// workspace.
     BeyondCap,
-    /// It was not taken: a job of another workspace has its id.
+    /// The job was not accepted: a job of another workspace has its id.
     IdInUse,
 }
 
-struct Waiting {
+/// A job row that waits to be written.
+struct PendingWrite {
     key: String,
     value: String,
-    /// A caller handed it in at this node.
-    own: bool,
+    /// A caller submitted the job at this node; otherwise another node forwarded it.
+    from_caller: bool,
     answer: oneshot::Sender<SubmitOutcome>,
 }
 
-/// Writes jobs to the store.
+/// Writes the rows of accepted jobs to the store.
 pub struct Intake {
-    tx: mpsc::Sender<Waiting>,
+    tx: mpsc::Sender<PendingWrite>,
 }
 
 impl Intake {
-    /// Begins to write for a node.
+    /// Starts the task that writes job rows.  It ends when the `Intake` is dropped.
     pub fn start(shared: Arc<Shared>) -> Self {
         let (tx, rx) = mpsc::channel(QUEUE_LENGTH);
-        tokio::spawn(run(shared, rx));
+        tokio::spawn(write_loop(shared, rx));
         Self { tx }
     }
 
-    /// Writes one job.
+    /// Writes the row of a job that a caller submitted at this node.
     pub async fn write(&self, row: &JobRow) -> SubmitOutcome {
         let value = match serde_json::to_string(row) {
             Ok(value) => value,
             Err(err) => {
-                tracing::error!(%err, request = %row.id, "a job cannot be encoded");
+                tracing::error!(%err, request = %row.id, "cannot encode a job");
                 return SubmitOutcome::Refused;
             }
         };
-        self.queue(row.id.to_string(), value, true).await
+        self.enqueue(row.id.to_string(), value, true).await
     }
 
-    /// Writes rows of jobs for another node, and tells what became of each.
+    /// Writes job rows that another node has forwarded, and returns the outcome of each, in the
+    /// order of `rows`.
     pub async fn write_for_node(&self, rows: Batch) -> Vec<SubmitOutcome> {
         let writes = rows
             .into_iter()
-            .map(|(key, value)| self.queue(key, value, false));
+            .map(|(key, value)| self.enqueue(key, value, false));
         join_all(writes).await
     }
 
-    async fn queue(&self, key: String, value: String, own: bool) -> SubmitOutcome {
+    async fn enqueue(&self, key: String, value: String, from_caller: bool) -> SubmitOutcome {
         let (answer, rx) = oneshot::channel();
-        let waiting = Waiting {
+        let write = PendingWrite {
             key,
             value,
-            own,
+            from_caller,
             answer,
         };
-        if self.tx.try_send(waiting).is_err() {
+        if self.tx.try_send(write).is_err() {
             return SubmitOutcome::Refused;
         }
         rx.await.unwrap_or(SubmitOutcome::Doubtful)
     }
 }
 
-/// The node that writes our jobs while the store is slow; none if we do ourselves.
-fn writer(shared: &Shared) -> Option<SocketAddr> {
+/// Returns the node to which this one forwards its jobs while the store is slow; none if this node
+/// writes them itself.
+fn designated_writer(shared: &Shared) -> Option<SocketAddr> {
     if !shared.store_is_slow() {
         return None;
     }
-    // Of so few nodes that all write, none has a rank beyond theirs.
+    // The nodes that come first by name are the writers, so in a small cell all nodes are.
     let (rank, _) = shared.rank();
     if rank < MAX_SLOW_STORE_WRITERS {
         return None;
     }
-    // The writers come before us by name, so among the others their places are the same.
+    // The list excludes this node.  All writers precede it by name, so each writer's index in the
+    // list is its rank.
     let members = shared.members();
     let writer = members.iter().nth(rank % MAX_SLOW_STORE_WRITERS);
     writer.map(|(_, member)| member.address)
 }
 
-async fn run(shared: Arc<Shared>, mut rx: mpsc::Receiver<Waiting>) {
-    let lanes = Arc::new(tokio::sync::Semaphore::new(LANES));
+async fn write_loop(shared: Arc<Shared>, mut rx: mpsc::Receiver<PendingWrite>) {
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_BATCHES));
     let mut batches = 0;
     while let Some(first) = rx.recv().await {
-        if first.own
-            && let Some(address) = writer(&shared)
+        if first.from_caller
+            && let Some(address) = designated_writer(&shared)
         {
-            tokio::spawn(hand_on(Arc::clone(&shared), address, first));
+            tokio::spawn(forward(Arc::clone(&shared), address, first));
             continue;
         }
         let slow = shared.store_is_slow();
-        let share = if slow { LANES / SLOW_STORE_BATCHES } else { 1 };
+        let needed = if slow {
+            MAX_CONCURRENT_BATCHES / SLOW_STORE_BATCHES
+        } else {
+            1
+        };
         // The semaphore is never closed.
-        let Ok(lane) = Arc::clone(&lanes).acquire_many_owned(share as u32).await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_many_owned(needed as u32).await else {
             return;
         };
-        let (rows, answers) = gather(first, &mut rx);
-        let plan = Plan::new(&shared, batches);
+        let (rows, answers) = collect_batch(first, &mut rx);
+        let plan = WritePlan::new(&shared, batches);
         batches += 1;
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
             write_and_answer(&shared, &rows, answers, plan).await;
-            drop(lane);
+            drop(permit);
         });
     }
 }
 
-/// Who waits for a batch, in the order of its rows.
+/// The channels to those who wait for the outcomes of a batch, in the order of its rows.
 type Answers = Vec<oneshot::Sender<SubmitOutcome>>;
 
-async fn write_and_answer(shared: &Arc<Shared>, rows: &Batch, answers: Answers, plan: Plan) {
+async fn write_and_answer(shared: &Arc<Shared>, rows: &Batch, answers: Answers, plan: WritePlan) {
     let outcome = job_batch::write(shared, rows, plan).await;
     if outcome != SubmitOutcome::Accepted {
-        tracing::info!(jobs = rows.len(), ?plan, ?outcome, "jobs were not written");
+        tracing::info!(
+            jobs = rows.len(),
+            ?plan,
+            ?outcome,
+            "batch of jobs not written, or outcome unknown"
+        );
     }
     for answer in answers {
-        // A caller that has left needs no answer.
+        // The caller may have stopped waiting.
         let _ = answer.send(outcome);
     }
 }
 
-/// Has another node write a job of ours with its own.
-async fn hand_on(shared: Arc<Shared>, address: SocketAddr, waiting: Waiting) {
-    let rows = vec![(waiting.key, waiting.value)];
+/// Has another node write a job's row together with its own.  If that node is not reached, the row
+/// is written here.
+async fn forward(shared: Arc<Shared>, address: SocketAddr, write: PendingWrite) {
+    let rows = vec![(write.key, write.value)];
     let call = NodeCall::Write(rows.clone());
-    match shared.peers.call(address, call, HAND_ON_TIMEOUT).await {
+    match shared.peers.call(address, call, FORWARD_TIMEOUT).await {
         Ok(NodeReply::Written(outcomes)) => {
             let outcome = outcomes.first().copied();
-            // A caller that has left needs no answer.
-            let _ = waiting
+            // The caller may have stopped waiting.
+            let _ = write
                 .answer
                 .send(outcome.unwrap_or(SubmitOutcome::Doubtful));
         }
         Err(PeerError::NotSent) => {
             shared.metrics.retry("writer_unreached");
-            let plan = Plan::new(&shared, 0);
-            write_and_answer(&shared, &rows, vec![waiting.answer], plan).await;
+            let plan = WritePlan::new(&shared, 0);
+            write_and_answer(&shared, &rows, vec![write.answer], plan).await;
         }
-        // The answer is dropped, which leaves it open whether the job was written.
-        reply => tracing::info!(%address, ?reply, "no word on a job that was handed on"),
+        // The channel is dropped without an answer, so the outcome counts as doubtful.
+        reply => tracing::info!(%address, ?reply, "outcome of a forwarded job is unknown"),
     }
 }
 
-/// Takes as many of the waiting jobs as one transaction may hold.
-fn gather(first: Waiting, rx: &mut mpsc::Receiver<Waiting>) -> (Batch, Answers) {
+/// Collects as many of the waiting jobs as one transaction may hold.
+fn collect_batch(first: PendingWrite, rx: &mut mpsc::Receiver<PendingWrite>) -> (Batch, Answers) {
     let mut bytes = first.value.len();
     let mut rows = vec![(first.key, first.value)];
     let mut answers = vec![first.answer];
-    while rows.len() < MOST_JOBS && bytes < MOST_BYTES {
-        let Ok(waiting) = rx.try_recv() else {
+    while rows.len() < MAX_JOBS && bytes < MAX_BYTES {
+        let Ok(write) = rx.try_recv() else {
             break;
         };
-        bytes += waiting.value.len();
-        rows.push((waiting.key, waiting.value));
-        answers.push(waiting.answer);
+        bytes += write.value.len();
+        rows.push((write.key, write.value));
+        answers.push(write.answer);
     }
     (rows, answers)
 }
--- a/src/node/job_batch.rs
+++ b/src/node/job_batch.rs
@@ -1,8 +1,8 @@
-//! Writing one batch of jobs to the store, in as many tries as it takes.
+//! Writes one batch of job rows to the store, in as many attempts as it takes.
 //!
-//! One job may be written twice, to different partitions: the owner knows jobs by their id.
-//! So a write that brought no answer is repeated elsewhere, and one success settles all
-//! earlier doubts.
+//! The row of a job may be written twice, into different partitions, since the owner identifies
+//! jobs by id.  So while an attempt has not been answered, another one may be made in another
+//! partition, and as soon as one succeeds, it does not matter whether the others did.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,48 +17,50 @@
 use crate::node::shared::{JOB_PARTITIONS, Shared, job_partition};
 use crate::store::{RowKey, StoreCall, StoreError, StoreReply, Table, Transaction};
 
-/// How long a doubtful write is repeated.  Its callers have had their answer by then
-/// (`node::front`); the job is taken for when they ask again.
-const SETTLE_FOR: Duration = Duration::from_millis(2_000);
-/// How many tries of one batch may be on their way at once, each in another partition.
-const MOST_TRIES: usize = 3;
-/// After so many refused tries further ones come to nothing: half of the partitions, of
-/// which some may be away alone.
-const ENOUGH_TRIES: usize = JOB_PARTITIONS / 2;
-/// The pause between two tries.
+/// How long a batch is retried.  Callers that wait for it are answered earlier (`node::front`), but
+/// if they submit the job again, it has usually been written by then.
+const RETRY_FOR: Duration = Duration::from_millis(2_000);
+/// How many attempts for one batch may be in flight at once, each in a different partition.
+const MAX_CONCURRENT_ATTEMPTS: usize = 3;
+/// After this many attempts that were all refused, more are considered pointless.  Single
+/// partitions may be unavailable while others work, but these are half of them.
+const MAX_REFUSED_ATTEMPTS: usize = JOB_PARTITIONS / 2;
+/// The pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How many at most while the store is slow: two are on their way then, and a job waits
-/// for half of one instead of a whole one.  With one, more jobs found no answer in time
-/// (docs/FINDINGS.md tells of the day).
+/// How many batches a node writes at once while the store is slow.  With two, a new job waits for
+/// half the duration of a transaction instead of a whole one before its own batch starts; with one,
+/// fewer jobs were answered in time (docs/FINDINGS.md, "A slow store, measured").
 pub const SLOW_STORE_BATCHES: usize = 2;
-/// How many nodes write while the store is slow; the others hand their jobs on to them.
+/// How many nodes write jobs while the store is slow; the others forward their jobs to them.
 pub const MAX_SLOW_STORE_WRITERS: usize = JOB_PARTITIONS / SLOW_STORE_BATCHES;
-/// While the store is slow, another try goes beside an unanswered one only after so many
-/// times the usual patience: it takes the place of other jobs' first tries.
-const SLOW_PATIENCE: u32 = 2;
-/// The pause after a slow store has refused a transaction: half of what one takes.
+/// While the store is slow, the wait before another concurrent attempt is this many times the usual
+/// one, since such an attempt takes up capacity that the first attempts of other jobs need.
+const SLOW_WAIT_FACTOR: u32 = 2;
+/// The pause between two attempts while the store is slow: half the duration of a transaction.
 const SLOW_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// The rows of jobs that go together, each as its key and its value.
+/// The job rows of one transaction, each as its key and its value.
 pub type Batch = Vec<(String, String)>;
 
-/// Where the tries of one batch go.
+/// Which partitions the attempts for one batch go to.
 ///
-/// A partition takes its transactions one after the other.  While all is well nodes begin
-/// at different places and go round, so that the partitions share the work.  A slow store
-/// takes two a second in each: then some nodes write for all, each into partitions of its
-/// own, and send few large transactions.  Otherwise nodes queue behind one another until
-/// the store refuses most of what it is sent.  While answers took 99 times as long, this
-/// raised the share of worth earned that day from 0.76 to 0.80 (docs/DECISIONS.md).
+/// The store carries out the transactions of a partition one after the other.  Normally each node
+/// starts at a different partition and goes through all of them in turn, so that the load is
+/// spread.  A slow store carries out two transactions a second in each partition.  Then a few nodes
+/// write for all, each into partitions that no other node uses, in few large transactions.
+/// Otherwise the transactions of different nodes queue up in the same partitions until the store
+/// refuses most of them.  In a load test in which answers took 99 times as long, this raised the
+/// share of the jobs' worth that was earned from 0.76 to 0.80 (docs/DECISIONS.md).
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub struct WritePlan {
     first: usize,
-    step: usize,
+    stride: usize,
+    /// The store was slow when the plan was made.
     slow: bool,
 }
 
-impl Plan {
-    /// Plans for the `batch`th batch of a node.
+impl WritePlan {
+    /// Plans the attempts for the batch with the number `batch` of this node.
     pub fn new(shared: &Shared, batch: usize) -> Self {
         let slow = shared.store_is_slow();
         if slow {
@@ -66,99 +68,103 @@
             let writers = nodes.min(MAX_SLOW_STORE_WRITERS);
             return Self {
                 first: rank % writers + writers * (batch % SLOW_STORE_BATCHES),
-                step: writers,
+                stride: writers,
                 slow,
             };
         }
         Self {
             first: xxh3_64(shared.name.as_bytes()) as usize % JOB_PARTITIONS + batch,
-            step: 1,
+            stride: 1,
             slow,
         }
     }
 
-    fn partition(&self, number: usize) -> String {
-        job_partition(self.first + self.step * number)
+    fn partition(&self, attempt: usize) -> String {
+        job_partition(self.first + self.stride * attempt)
     }
 }
 
-/// Writes a batch, and while the store leaves it open, again into other partitions.
-pub async fn write(shared: &Arc<Shared>, batch: &Batch, plan: Plan) -> SubmitOutcome {
-    let until = Instant::now() + SETTLE_FOR;
-    let mut writing = Writing::new(shared, batch, plan);
+/// Writes a batch, and again into other partitions until an attempt succeeds or it is pointless to
+/// go on, for [`RETRY_FOR`] at most.
+pub async fn write(shared: &Arc<Shared>, batch: &Batch, plan: WritePlan) -> SubmitOutcome {
+    let until = Instant::now() + RETRY_FOR;
+    let mut write = BatchWrite::new(shared, batch, plan);
     while Instant::now() < until {
-        writing.begin_try();
-        match writing.next(until).await {
-            Some(Written::Yes) => return SubmitOutcome::Accepted,
-            Some(Written::Never) => break,
-            Some(Written::No | Written::Perhaps) | None => {}
+        write.start_attempt();
+        match write.next_result(until).await {
+            Some(AttemptResult::Committed) => return SubmitOutcome::Accepted,
+            Some(AttemptResult::Rejected) => break,
+            Some(AttemptResult::Refused | AttemptResult::Unknown) | None => {}
         }
-        if writing.is_hopeless() {
+        if write.should_give_up() {
             break;
         }
-        tokio::time::sleep(writing.retry_pause()).await;
+        tokio::time::sleep(write.retry_pause()).await;
     }
-    writing.outcome()
+    write.outcome()
 }
 
-/// The tries of one batch.
+/// The attempts to write one batch.
 ///
-/// One whose answer is late is not given up: a slow store would only be given more to
-/// do.  The next one goes beside it, by another way.
-struct Writing<'a> {
+/// An attempt that takes long is not abandoned, since its repetition would only add to the load of
+/// a slow store.  The next attempt runs concurrently and takes another way to the store: directly
+/// or through a peer.
+struct BatchWrite<'a> {
     shared: &'a Arc<Shared>,
     batch: &'a Batch,
-    plan: Plan,
-    tries: FuturesUnordered<BoxFuture<'a, Written>>,
-    begun: usize,
-    /// A try that has ended may have taken effect.
-    doubt: bool,
+    plan: WritePlan,
+    in_flight: FuturesUnordered<BoxFuture<'a, AttemptResult>>,
+    /// How many attempts have been started.
+    started: usize,
+    /// An attempt has ended without a clear answer, so it may have taken effect.
+    has_unknown_result: bool,
 }
 
-impl<'a> Writing<'a> {
-    fn new(shared: &'a Arc<Shared>, batch: &'a Batch, plan: Plan) -> Self {
+impl<'a> BatchWrite<'a> {
+    fn new(shared: &'a Arc<Shared>, batch: &'a Batch, plan: WritePlan) -> Self {
         Self {
             shared,
             batch,
             plan,
-            tries: FuturesUnordered::new(),
-            begun: 0,
-            doubt: false,
+            in_flight: FuturesUnordered::new(),
+            started: 0,
+            has_unknown_result: false,
         }
     }
 
-    /// Begins another try, unless enough are on their way.
-    fn begin_try(&mut self) {
-        if self.tries.len() >= MOST_TRIES {
+    /// Starts another attempt, unless as many as allowed are in flight.
+    fn start_attempt(&mut self) {
+        if self.in_flight.len() >= MAX_CONCURRENT_ATTEMPTS {
             return;
         }
-        let partition = self.plan.partition(self.begun);
+        let partition = self.plan.partition(self.started);
         let call = StoreCall::Commit(transaction(self.batch, &partition));
-        let attempt = write_once(self.shared, call, self.begun);
-        self.tries.push(attempt.boxed());
-        self.begun += 1;
+        let attempt = write_once(self.shared, call, self.started);
+        self.in_flight.push(attempt.boxed());
+        self.started += 1;
     }
 
-    /// Waits for a try to end, or until it is time for another; none if none has ended.
-    async fn next(&mut self, until: Instant) -> Option<Written> {
-        let wait = self.until_next_try(until);
-        let written = tokio::time::timeout_at(wait, self.tries.next()).await;
-        let written = written.ok().flatten();
-        if let Some(Written::Perhaps) = written {
-            self.doubt = true;
+    /// Waits for an attempt to end; none if it is time for another one before that.
+    async fn next_result(&mut self, until: Instant) -> Option<AttemptResult> {
+        let wait = self.next_attempt_at(until);
+        let result = tokio::time::timeout_at(wait, self.in_flight.next()).await;
+        let result = result.ok().flatten();
+        if let Some(AttemptResult::Unknown) = result {
+            self.has_unknown_result = true;
             self.shared.metrics.retry("job_write_unanswered");
         }
-        written
+        result
     }
 
-    /// Each further try waits longer: it may be that the store has turned slow.
-    fn until_next_try(&self, until: Instant) -> Instant {
-        if self.tries.len() >= MOST_TRIES {
+    /// When the next attempt is due if none of those in flight ends.  The wait grows with their
+    /// number, since the store may have become slow.
+    fn next_attempt_at(&self, until: Instant) -> Instant {
+        if self.in_flight.len() >= MAX_CONCURRENT_ATTEMPTS {
             return until;
         }
-        let times = if self.plan.slow { SLOW_PATIENCE } else { 1 };
-        let patience = self.shared.store_timeout() * self.tries.len() as u32 * times;
-        until.min(Instant::now() + patience)
+        let factor = if self.plan.slow { SLOW_WAIT_FACTOR } else { 1 };
+        let wait = self.shared.store_timeout() * self.in_flight.len() as u32 * factor;
+        until.min(Instant::now() + wait)
     }
 
     fn retry_pause(&self) -> Duration {
@@ -169,19 +175,20 @@
         }
     }
 
-    /// The jobs may have been written, or may be yet.
-    fn is_open(&self) -> bool {
-        self.doubt || !self.tries.is_empty()
+    /// Tells whether the jobs may have been written, or may still be.
+    fn may_be_written(&self) -> bool {
+        self.has_unknown_result || !self.in_flight.is_empty()
     }
 
-    /// Nothing is on its way, and further tries would come to nothing either.
-    fn is_hopeless(&self) -> bool {
-        let enough = !self.doubt && self.begun >= ENOUGH_TRIES;
-        self.tries.is_empty() && (enough || !self.shared.can_reach_store())
+    /// Tells whether nothing is in flight and further attempts are pointless: so many were refused,
+    /// or the store cannot be reached.
+    fn should_give_up(&self) -> bool {
+        let enough = !self.has_unknown_result && self.started >= MAX_REFUSED_ATTEMPTS;
+        self.in_flight.is_empty() && (enough || !self.shared.can_reach_store())
     }
 
     fn outcome(&self) -> SubmitOutcome {
-        if self.is_open() {
+        if self.may_be_written() {
             SubmitOutcome::Doubtful
         } else {
             SubmitOutcome::Refused
@@ -189,33 +196,39 @@
     }
 }
 
-/// What one try came to.
-enum Written {
-    Yes,
-    No,
-    Perhaps,
-    /// The store rejects the jobs, however often they are sent.
-    Never,
+/// The result of one attempt.
+enum AttemptResult {
+    Committed,
+    /// Nothing was written; another attempt may succeed.
+    Refused,
+    /// The attempt may have taken effect, or may still do so.
+    Unknown,
+    /// The store rejects the transaction itself, so repeating it is of no use.
+    Rejected,
 }
 
-async fn write_once(shared: &Arc<Shared>, call: StoreCall, number: usize) -> Written {
+/// Makes the attempt with this number.  Every other one goes through a peer if possible.
+async fn write_once(shared: &Arc<Shared>, call: StoreCall, number: usize) -> AttemptResult {
     let reply = if number.is_multiple_of(2) {
         shared.store_without_timeout(call).await
     } else {
         shared.store_via_peers(call).await
     };
     match reply {
-        Ok(StoreReply::Committed(_)) => Written::Yes,
+        Ok(StoreReply::Committed(_)) => AttemptResult::Committed,
         Ok(reply) => {
-            tracing::error!(?reply, "the store's answer to jobs is of the wrong kind");
-            Written::Perhaps
+            tracing::error!(
+                ?reply,
+                "unexpected kind of answer from the store to a write of jobs"
+            );
+            AttemptResult::Unknown
         }
         Err(StoreError::Rejected(status)) => {
-            tracing::error!(status, "the store rejects jobs");
-            Written::Never
+            tracing::error!(status, "store rejects a batch of jobs");
+            AttemptResult::Rejected
         }
-        Err(StoreError::Unavailable) => Written::No,
-        Err(StoreError::Unanswered | StoreError::Malformed) => Written::Perhaps,
+        Err(StoreError::Unavailable) => AttemptResult::Refused,
+        Err(StoreError::Unanswered | StoreError::Malformed) => AttemptResult::Unknown,
     }
 }
 
