--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -1,4 +1,4 @@
-//! Serving callers and other nodes.
+//! The frontend of a node: it serves the requests of callers and the calls of other nodes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,50 +21,54 @@
 use crate::store::{StoreCall, StoreReply, Table};
 use crate::workspace::{Caller, Workspace};
 
-/// How long the owner may take to record a cancellation: callers wait 3 s.
+/// Time limit for the owner to record a cancellation, in milliseconds: callers wait 3 s.
 const CANCEL_TIMEOUT: Millis = 2_500;
-/// The share of the time that a caller has left which an answer may take, in percent: a
-/// caller that gets none must have time to ask again, at this node or another.
-const HOLD_PERCENT: Millis = 45;
-/// The share while the store is slow, in percent: another try would take as long as this
-/// one, and its row would wait in the same partitions behind it.
-const SLOW_HOLD_PERCENT: Millis = 75;
-/// What a caller that names no deadline is taken to have left.
-const USUAL_DEADLINE: Millis = 3_000;
-/// How long a question about a job waits for an owner: twice what a takeover takes.
-const TAKEOVER: Millis = 300;
-/// How often it looks whether there is one.
-const OWNER_LOOK: Duration = Duration::from_millis(20);
-/// How long the owner may take to tell whose an id is: ten times what it takes when it is well.
+/// The share of a caller's remaining time that an answer may take, in percent.  After a time-out
+/// the caller must have time left to ask again, at this node or another.
+const ANSWER_PERCENT: Millis = 45;
+/// The same share while the store is slow, in percent.  Another submission would take as long as
+/// this one, and its row would queue up behind this one's in the same partitions.
+const SLOW_ANSWER_PERCENT: Millis = 75;
+/// The remaining time of a caller that states no deadline, in milliseconds.
+const DEFAULT_DEADLINE: Millis = 3_000;
+/// How long a state query waits for an owner if there is none, in milliseconds: twice what a
+/// takeover takes.
+const OWNER_WAIT: Millis = 300;
+/// How often a state query checks meanwhile whether there is an owner.
+const OWNER_POLL: Duration = Duration::from_millis(20);
+/// Time limit for the owner to tell whether a caller may see the job with an id, in milliseconds:
+/// ten times what that takes normally.
 const ID_TIMEOUT: Millis = 150;
-/// When to come back after a refusal: the store's outages last some seconds.
+/// How long callers are asked to wait before they retry after a refusal, in milliseconds: outages
+/// of the store last some seconds.
 pub const RETRY_AFTER: Millis = 1_000;
-/// A count of the owner's that is older than this is not passed on: callers accept 2 s.
-const PENDING_VALID: Millis = 1_800;
+/// Counts of pending jobs that the owner reported longer ago than this, in milliseconds, are not
+/// passed on: callers accept counts that are 2 s old.
+const MAX_PENDING_AGE: Millis = 1_800;
 
-/// What became of a question or a cancellation.
+/// The answer to a state query or a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobAnswer {
-    /// How far the job is.
+    /// The state of the job.
     State(JobState),
-    /// There is no such job.
+    /// There is no such job, or the caller may not see it.
     Unknown,
     /// The cancellation is recorded.
     Cancelled,
-    /// It cannot be told now.
+    /// No answer can be given now; the caller may ask again.
     Unavailable,
 }
 
-/// The side of a node that callers and other nodes see.
+/// Serves the requests of callers and the calls of other nodes.
 pub struct Frontend {
-    /// What all parts of the node share.
+    /// The shared state of the node.
     pub shared: Arc<Shared>,
     intake: Intake,
-    /// Callers' requests that are being answered.
+    /// The number of callers' requests in progress.
     requests: Arc<AtomicUsize>,
 }
 
-/// One request that is being answered; dropping it ends the count.
+/// Counts one request as in progress until it is dropped.
 pub struct RequestGuard(Arc<AtomicUsize>);
 
 impl Drop for RequestGuard {
@@ -74,7 +78,7 @@
 }
 
 impl Frontend {
-    /// Makes the front of a node.
+    /// Creates the frontend of a node and starts its intake.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             intake: Intake::start(Arc::clone(&shared)),
@@ -83,24 +87,25 @@
         }
     }
 
-    /// Counts a request for as long as the value lives.
+    /// Counts a request as in progress for as long as the returned guard lives.
     pub fn track_request(&self) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::Relaxed);
         RequestGuard(Arc::clone(&self.requests))
     }
 
-    /// Tells whether no request is being answered.
+    /// Tells whether no request is in progress.
     pub fn is_idle(&self) -> bool {
         self.requests.load(Ordering::Relaxed) == 0
     }
 
-    /// Tells whether the node should get new connections: it can take jobs.
+    /// Tells whether the load balancer should send new connections here: the node has a
+    /// configuration, reaches the store and is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.shared.config().is_some() && !self.shared.is_leaving() && self.shared.can_reach_store()
     }
 
-    /// Takes a job in.  It is durable before this says so; `deadline` is the time that
-    /// the caller has left, if it told.
+    /// Submits a job, which is durable if the outcome is `Accepted`.  `deadline` is the caller's
+    /// remaining time in milliseconds, if it has stated that.
     pub async fn submit(
         &self,
         caller: &Caller,
@@ -120,7 +125,7 @@
             workspace,
         };
         let began = self.shared.now();
-        let outcome = match self.is_anothers(caller, id).await {
+        let outcome = match self.is_id_taken(caller, id).await {
             true => SubmitOutcome::IdInUse,
             false => self.write(&row, deadline).await,
         };
@@ -144,27 +149,29 @@
         outcome
     }
 
-    /// Tells whether a job has this id that the caller may not see.  Its row must not be written
-    /// over, and a second one of its id would never run.  Only workspaces need the question, and
-    /// without an owner nobody can tell at once.
-    async fn is_anothers(&self, caller: &Caller, id: JobId) -> bool {
+    /// Tells whether a job with this id exists that the caller may not see.  The row of that job
+    /// must not be overwritten, and a second job with its id would never run.
+    ///
+    /// Only callers with a workspace are checked.  Without an owner the id counts as free, since no
+    /// other node can tell quickly.
+    async fn is_id_taken(&self, caller: &Caller, id: JobId) -> bool {
         let Caller::Workspace(_) = caller else {
             return false;
         };
-        let known = self.ask_state(&Caller::Operator, id).await;
+        let known = self.query_owner(&Caller::Operator, id).await;
         if !matches!(known, Some(NodeReply::State(_))) {
             return false;
         }
-        let seen = self.ask_state(caller, id).await;
+        let seen = self.query_owner(caller, id).await;
         matches!(seen, Some(NodeReply::UnknownJob))
     }
 
-    async fn ask_state(&self, caller: &Caller, id: JobId) -> Option<NodeReply> {
+    async fn query_owner(&self, caller: &Caller, id: JobId) -> Option<NodeReply> {
         let call = NodeCall::State(question(caller, id));
         ask_owner(&self.shared, call, ID_TIMEOUT).await
     }
 
-    /// The workspace of a caller, as the configuration in force describes it.
+    /// Returns the workspace of a caller as defined in the configuration in force.
     fn workspace(&self, caller: &Caller) -> Option<Workspace> {
         let Caller::Workspace(name) = caller else {
             return None;
@@ -178,23 +185,23 @@
         }
         let writing = self.intake.write(row);
         tokio::pin!(writing);
-        if let Ok(outcome) = tokio::time::timeout(hold(deadline), &mut writing).await {
+        if let Ok(outcome) = tokio::time::timeout(answer_limit(deadline), &mut writing).await {
             return outcome;
         }
         if !self.shared.store_answers_slowly() {
-            // The write goes on: the job may yet be taken.
+            // The write continues in the background, so the job may still be accepted.
             return SubmitOutcome::Doubtful;
         }
-        let longer = slow_hold(deadline).saturating_sub(hold(deadline));
+        let longer = slow_answer_limit(deadline).saturating_sub(answer_limit(deadline));
         let outcome = tokio::time::timeout(longer, writing).await;
         outcome.unwrap_or(SubmitOutcome::Doubtful)
     }
 
-    /// Tells how far a job is, to a caller that has `deadline` left.
+    /// Returns the state of a job.  `deadline` is the caller's remaining time in milliseconds.
     pub async fn state(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> JobAnswer {
-        let asking = tokio::time::timeout(hold(deadline), self.find_state(caller, id));
+        let asking = tokio::time::timeout(answer_limit(deadline), self.find_state(caller, id));
         asking.await.unwrap_or_else(|_| {
-            tracing::info!(request = %id, ?deadline, "state is not found in time");
+            tracing::info!(request = %id, ?deadline, "state of a job not found in time");
             JobAnswer::Unavailable
         })
     }
@@ -218,17 +225,17 @@
         told
     }
 
-    /// Waits a while for an owner if there is none: a takeover is shorter than reading a
-    /// job's rows, which takes a call for each partition.
+    /// Waits for an owner if there is none, for [`OWNER_WAIT`] at most: a takeover takes less time
+    /// than reading a job's rows, which needs a call for each partition.
     async fn await_owner(&self) {
-        let until = self.shared.now() + TAKEOVER;
+        let until = self.shared.now() + OWNER_WAIT;
         while self.shared.owner().address.is_none() && self.shared.now() < until {
-            tokio::time::sleep(OWNER_LOOK).await;
+            tokio::time::sleep(OWNER_POLL).await;
         }
     }
 
-    /// Reads a job's state from its rows: first from that of its progress, since looking
-    /// for the job takes a call for each partition.
+    /// Reads a job's state from the store: first from the row of its progress, since finding the
+    /// row of the job itself takes a call for each partition.
     async fn stored_state(&self, caller: &Caller, id: JobId) -> JobAnswer {
         let progress = StoreCall::row(Table::Progress, PARTITION, &id.to_string());
         let Ok(StoreReply::Rows { rows, .. }) = self.shared.store(progress).await else {
@@ -241,7 +248,7 @@
                 }
                 Ok(_) => JobAnswer::Unknown,
                 Err(err) => {
-                    tracing::error!(%err, request = %id, "progress cannot be read");
+                    tracing::error!(%err, request = %id, "cannot parse the progress of a job");
                     JobAnswer::Unavailable
                 }
             };
@@ -263,8 +270,10 @@
         }
     }
 
-    /// Tells how a job stands in detail, which only the owner knows; `Err` tells as much
-    /// as any node can.
+    /// Returns a detailed view of a job, which only the owner has.
+    ///
+    /// # Errors
+    /// If the owner does not answer with one, the error holds what [`Self::state`] returns.
     pub async fn explain(
         &self,
         caller: &Caller,
@@ -275,22 +284,23 @@
         if let Some(NodeReply::Explained(view)) = asked {
             match serde_json::from_slice(&view) {
                 Ok(view) => return Ok(view),
-                Err(err) => tracing::error!(%err, request = %id, "a view cannot be read"),
+                Err(err) => tracing::error!(%err, request = %id, "cannot decode the view of a job"),
             }
         }
         Err(self.state(caller, id, None).await)
     }
 
-    /// Cancels a job, for a caller that has `deadline` left; it is recorded before this
-    /// says so.
+    /// Cancels a job.  The cancellation is recorded if the answer is `Cancelled`.  `deadline` is
+    /// the caller's remaining time in milliseconds.
     pub async fn cancel(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> JobAnswer {
-        let cancelling = tokio::time::timeout(hold(deadline), self.ask_to_cancel(caller, id));
+        let cancelling =
+            tokio::time::timeout(answer_limit(deadline), self.cancel_at_owner(caller, id));
         let told = cancelling.await.unwrap_or(JobAnswer::Unavailable);
         tracing::info!(request = %id, ?told, "cancellation");
         told
     }
 
-    async fn ask_to_cancel(&self, caller: &Caller, id: JobId) -> JobAnswer {
+    async fn cancel_at_owner(&self, caller: &Caller, id: JobId) -> JobAnswer {
         let call = NodeCall::Cancel(question(caller, id));
         match ask_owner(&self.shared, call, CANCEL_TIMEOUT).await {
             Some(NodeReply::Cancelled) => JobAnswer::Cancelled,
@@ -299,14 +309,15 @@
         }
     }
 
-    /// How many jobs of a queue have not begun; none if that is not known.
+    /// Returns the number of a queue's jobs of which no task has started; none if that is not
+    /// known, or if the owner last reported it too long ago.
     pub fn pending(&self, queue: &str) -> Option<u32> {
         let pending = match self.shared.engine() {
             Some(engine) => engine.pending(),
             None => {
                 let owner = self.shared.owner();
                 let age = owner.silence(self.shared.now());
-                if owner.address.is_none() || age > PENDING_VALID {
+                if owner.address.is_none() || age > MAX_PENDING_AGE {
                     return None;
                 }
                 owner.pending.clone()
@@ -352,18 +363,18 @@
     }
 }
 
-/// How long a caller that has `deadline` left may be kept waiting.
-fn hold(deadline: Option<Millis>) -> Duration {
-    share_of(deadline, HOLD_PERCENT)
+/// How long an answer may take for a caller with this remaining time.
+fn answer_limit(deadline: Option<Millis>) -> Duration {
+    share_of(deadline, ANSWER_PERCENT)
 }
 
-/// How long a caller may be kept waiting for a slow store.
-fn slow_hold(deadline: Option<Millis>) -> Duration {
-    share_of(deadline, SLOW_HOLD_PERCENT)
+/// How long an answer may take while the store is slow.
+fn slow_answer_limit(deadline: Option<Millis>) -> Duration {
+    share_of(deadline, SLOW_ANSWER_PERCENT)
 }
 
 fn share_of(deadline: Option<Millis>, percent: Millis) -> Duration {
-    let left = deadline.unwrap_or(USUAL_DEADLINE);
+    let left = deadline.unwrap_or(DEFAULT_DEADLINE);
     Duration::from_millis(left * percent / 100)
 }
 
@@ -373,11 +384,12 @@
     }
 }
 
+/// Makes a call to the store for another node; both the call and the answer are JSON.
 async fn relay(shared: &Arc<Shared>, body: &[u8]) -> NodeReply {
     let call = match serde_json::from_slice(body) {
         Ok(call) => call,
         Err(err) => {
-            tracing::error!(%err, "a call to relay cannot be read");
+            tracing::error!(%err, "cannot decode a call to be relayed to the store");
             return NodeReply::Unavailable;
         }
     };
