--- a/src/node/job_batch.rs
+++ b/src/node/job_batch.rs
@@ -107,8 +107,8 @@
 /// The attempts to write one batch.
 ///
 /// An attempt that takes long is not abandoned, since its repetition would only add to the load of
-/// a slow store.  The next attempt runs concurrently and takes another way to the store: directly
-/// or through a peer.
+/// a slow store.  The next attempt runs concurrently and takes another route to the store:
+/// directly or through a peer.
 struct BatchWrite<'a> {
     shared: &'a Arc<Shared>,
     batch: &'a Batch,
--- a/src/node/route.rs
+++ b/src/node/route.rs
@@ -1,7 +1,8 @@
-//! The store by whichever way works: directly, or through a peer that reaches it.
+//! Access to the store by any route that works: directly, or relayed by a peer that reaches it.
 //!
-//! The store may turn single VMs away while it serves others.  Repeating a call
-//! through a peer is safe, since every transaction names the versions it expects.
+//! The store may refuse single VMs while it serves others.  Repeating a transaction through a peer
+//! is safe, since it names the versions of rows that it expects; those that name none write rows
+//! that may be written twice.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,71 +20,78 @@
 use crate::rpc::node::{NodeCall, NodeReply};
 use crate::store::{Store, StoreCall, StoreError, StoreReply, Table};
 
-/// How often a direct way that does not work is probed: callers come back by the second.
-const PROBE_PAUSE: Duration = Duration::from_millis(200);
-/// How long a probe may take: a read takes 6 ms, and some 400 ms from a slow store.
+/// How often the direct route is probed while it does not work: callers retry after a second.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time limit for a probe: a read takes 6 ms, and some 400 ms while the store is slow.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a relayed call may take: the store's own limit and a hop.
+/// Time limit for a relayed call, in milliseconds: the store's own limit and a round trip to the
+/// peer.
 const RELAY_TIMEOUT: Millis = 1_200;
-/// How many peers are asked for one call.
-const MOST_RELAYS: usize = 2;
-/// A peer that was not heard for so long is not asked: three heartbeats.
+/// How many peers are asked, one after the other, to relay a call.
+const MAX_RELAYS: usize = 2;
+/// A peer that has been silent for this long, in milliseconds, is not asked to relay: it has missed
+/// two heartbeats at the default interval.
 pub const RELAY_WINDOW: Millis = 1_000;
 
-/// How long the answer to a transaction is waited for.
+/// How long to wait for the answer to a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyTimeout {
-    /// As long as it can be expected to take; the caller repeats the transaction.
+    /// For the time that it can be expected to take at most (`node::store_latency`); after that the
+    /// caller repeats the transaction.
     Adaptive,
-    /// As long as the store may take at all; the caller has other tries beside it.
+    /// Until the store client gives up; meanwhile the caller may make other attempts.
     ClientOnly,
 }
 
-/// The store of a node.
+/// A node's access to the store, directly and through peers.
 pub struct RoutedStore {
     direct: Arc<dyn Store>,
-    works: AtomicBool,
-    doubted: Notify,
-    regained: Notify,
-    patience: Mutex<StoreLatency>,
+    direct_works: AtomicBool,
+    /// Notified when a direct call has failed, so that the route is probed.
+    probe_needed: Notify,
+    /// Notified when the direct route works again after an outage.
+    direct_restored: Notify,
+    latency: Mutex<StoreLatency>,
 }
 
 impl RoutedStore {
-    /// Wraps the direct way, which counts as working until a probe fails.
+    /// Wraps the store client of the direct route, which counts as working until a probe fails.
     pub fn new(direct: Arc<dyn Store>) -> Self {
         Self {
             direct,
-            works: AtomicBool::new(true),
-            doubted: Notify::new(),
-            regained: Notify::new(),
-            patience: Mutex::default(),
+            direct_works: AtomicBool::new(true),
+            probe_needed: Notify::new(),
+            direct_restored: Notify::new(),
+            latency: Mutex::default(),
         }
     }
 
-    /// Tells whether the direct way works, as far as is known.
+    /// Tells whether the direct route works, according to the last probe.
     pub fn direct_works(&self) -> bool {
-        self.works.load(Ordering::Relaxed)
+        self.direct_works.load(Ordering::Relaxed)
     }
 
-    /// Probes the direct way when a call has failed on it, and until it works again.
+    /// Probes the direct route whenever a call has failed on it, and then until it works again.
+    /// Never returns.
     ///
-    /// One failed call proves little: a partition of the store may be away alone.  And
-    /// calls that somebody waits for must not each try a way that says nothing.
-    pub async fn probe(&self, shared: Arc<Shared>) {
+    /// A single failed call does not prove that the route is down, since one partition of the store
+    /// may be unavailable alone.  While the route is known to be down, calls do not try it, so that
+    /// callers do not wait for its time-outs.
+    pub async fn probe_loop(&self, shared: Arc<Shared>) {
         loop {
-            self.doubted.notified().await;
+            self.probe_needed.notified().await;
             if self.probe_once(&shared).await {
                 continue;
             }
-            self.turn(&shared, false);
+            self.set_direct_works(&shared, false);
             self.probe_until_answered(&shared).await;
-            self.turn(&shared, true);
-            self.regained.notify_waiters();
+            self.set_direct_works(&shared, true);
+            self.direct_restored.notify_waiters();
         }
     }
 
-    fn turn(&self, shared: &Shared, works: bool) {
-        self.works.store(works, Ordering::Relaxed);
+    fn set_direct_works(&self, shared: &Shared, works: bool) {
+        self.direct_works.store(works, Ordering::Relaxed);
         tracing::info!(works, "direct way to the store");
         shared.metrics.event(if works {
             "store_regained"
@@ -92,12 +100,12 @@
         });
     }
 
-    /// A probe that hangs does not hold up the next one.
+    /// Starts a probe at each interval, so that one without an answer does not delay the next one.
     async fn probe_until_answered(&self, shared: &Shared) {
         let mut probes = FuturesUnordered::new();
         loop {
             probes.push(self.probe_once(shared));
-            let pause = tokio::time::sleep(PROBE_PAUSE);
+            let pause = tokio::time::sleep(PROBE_INTERVAL);
             tokio::pin!(pause);
             loop {
                 tokio::select! {
@@ -115,31 +123,35 @@
         matches!(reply, Ok(Ok(_)))
     }
 
-    /// Makes a call by the direct way only.
+    /// Makes a call on the direct route only.
+    ///
+    /// # Errors
+    /// See [`StoreError`].
     pub async fn call_direct(
         &self,
         shared: &Shared,
         call: StoreCall,
         timeout: ReplyTimeout,
     ) -> Result<StoreReply, StoreError> {
-        let held = matches!(call, StoreCall::Changes { .. });
+        // The store delays the answer to a request for changes until there are some.
+        let is_held = matches!(call, StoreCall::Changes { .. });
         let began = shared.now();
         let reply = match call {
             StoreCall::Commit(_) => self.commit(shared, call, timeout).await,
             _ => self.direct.call(call).await,
         };
-        if !held {
+        if !is_held {
             let took = shared.now().saturating_sub(began);
             shared.metrics.wait("store", took);
         }
         if let Err(err) = &reply {
             shared.metrics.retry(store_error_code(err));
-            self.doubted.notify_one();
+            self.probe_needed.notify_one();
         }
         reply
     }
 
-    /// Sends a transaction, and learns from how long its answer takes.
+    /// Sends a transaction, and notes how long the answer takes for later time-outs.
     async fn commit(
         &self,
         shared: &Shared,
@@ -147,53 +159,56 @@
         timeout: ReplyTimeout,
     ) -> Result<StoreReply, StoreError> {
         let began = shared.now();
-        let _on_its_way = OnItsWay::new(&self.patience, began);
+        let _in_flight = InFlight::new(&self.latency, began);
         let sent = async {
-            // What hangs since the store was away gets no answer any more.
+            // A transaction that was in flight during an outage gets no answer any more.
             tokio::select! {
                 reply = self.direct.call(call) => reply,
-                () = self.regained.notified() => Err(StoreError::Unanswered),
+                () = self.direct_restored.notified() => Err(StoreError::Unanswered),
             }
         };
         let reply = match timeout {
-            ReplyTimeout::Adaptive => tokio::time::timeout(self.patience(), sent).await,
+            ReplyTimeout::Adaptive => tokio::time::timeout(self.timeout(), sent).await,
             ReplyTimeout::ClientOnly => Ok(sent.await),
         };
         let now = shared.now();
         match reply {
             Ok(Ok(reply)) => {
-                self.lock_patience()
+                self.lock_latency()
                     .note_answer(now.saturating_sub(began), now);
                 Ok(reply)
             }
             Ok(Err(err)) => Err(err),
             Err(_) => {
-                self.lock_patience().note_timeout();
+                self.lock_latency().note_timeout();
                 Err(StoreError::Unanswered)
             }
         }
     }
 
-    /// How long the answer to a transaction can be expected to take at most.
-    pub fn patience(&self) -> Duration {
-        Duration::from_millis(self.lock_patience().timeout())
+    /// Returns the time that the answer to a transaction can be expected to take at most.
+    pub fn timeout(&self) -> Duration {
+        Duration::from_millis(self.lock_latency().timeout())
     }
 
-    /// Tells whether the store takes long and does answer.
+    /// Tells whether the store is slow but does answer.
     pub fn answers_slowly(&self, now: Millis) -> bool {
-        self.lock_patience().answers_slowly(now)
+        self.lock_latency().answers_slowly(now)
     }
 
-    /// Tells whether the store is slow, or may have turned so just now.
+    /// Tells whether the store is slow, or has not answered for so long that it probably is.
     pub fn is_slow(&self, now: Millis) -> bool {
-        self.lock_patience().is_slow(now)
+        self.lock_latency().is_slow(now)
     }
 
-    fn lock_patience(&self) -> MutexGuard<'_, StoreLatency> {
-        lock(&self.patience)
+    fn lock_latency(&self) -> MutexGuard<'_, StoreLatency> {
+        lock(&self.latency)
     }
 
-    /// Makes a call by any way.
+    /// Makes a call on the direct route, or through peers if that does not work or the call fails.
+    ///
+    /// # Errors
+    /// See [`StoreError`].
     pub async fn call(
         &self,
         shared: &Arc<Shared>,
@@ -204,34 +219,37 @@
             return self.call_relayed(shared, &call).await;
         }
         let direct = self.call_direct(shared, call.clone(), timeout).await;
-        let doubt = match direct {
+        let may_be_done = match direct {
             Err(StoreError::Unavailable) => false,
             Err(StoreError::Unanswered | StoreError::Malformed) => true,
-            settled => return settled,
+            answer => return answer,
         };
         match self.call_relayed(shared, &call).await {
-            Err(StoreError::Unavailable) if doubt => Err(StoreError::Unanswered),
+            Err(StoreError::Unavailable) if may_be_done => Err(StoreError::Unanswered),
             reply => reply,
         }
     }
 
-    /// Makes a call through other nodes only.
+    /// Makes a call through peers only.
+    ///
+    /// # Errors
+    /// See [`StoreError`].
     pub async fn call_relayed(
         &self,
         shared: &Arc<Shared>,
         call: &StoreCall,
     ) -> Result<StoreReply, StoreError> {
-        let mut doubt = false;
+        let mut may_be_done = false;
         let now = shared.now();
         let relays = shared.members().relays(now, RELAY_WINDOW);
-        for address in relays.into_iter().take(MOST_RELAYS) {
+        for address in relays.into_iter().take(MAX_RELAYS) {
             match relay(shared, address, call).await {
                 Err(StoreError::Unavailable) => {}
-                Err(StoreError::Unanswered | StoreError::Malformed) => doubt = true,
-                settled => return settled,
+                Err(StoreError::Unanswered | StoreError::Malformed) => may_be_done = true,
+                answer => return answer,
             }
         }
-        Err(if doubt {
+        Err(if may_be_done {
             StoreError::Unanswered
         } else {
             StoreError::Unavailable
@@ -239,21 +257,22 @@
     }
 }
 
-fn lock(patience: &Mutex<StoreLatency>) -> MutexGuard<'_, StoreLatency> {
-    patience.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(latency: &Mutex<StoreLatency>) -> MutexGuard<'_, StoreLatency> {
+    latency.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts a transaction as on its way, also when whoever waits for it gives up.
-struct OnItsWay<'a>(&'a Mutex<StoreLatency>);
+/// Counts a transaction as in flight until it is dropped, which also happens if the caller stops
+/// waiting.
+struct InFlight<'a>(&'a Mutex<StoreLatency>);
 
-impl<'a> OnItsWay<'a> {
-    fn new(patience: &'a Mutex<StoreLatency>, now: Millis) -> Self {
-        lock(patience).note_sent(now);
-        Self(patience)
+impl<'a> InFlight<'a> {
+    fn new(latency: &'a Mutex<StoreLatency>, now: Millis) -> Self {
+        lock(latency).note_sent(now);
+        Self(latency)
     }
 }
 
-impl Drop for OnItsWay<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         lock(self.0).note_finished();
     }
@@ -268,10 +287,11 @@
     }
 }
 
-/// Hands a call to another node and tells what the store said to it.
+/// Asks a peer to make a call to the store, and returns the store's answer to the peer.  `timeout`
+/// is in milliseconds.
 ///
 /// # Errors
-/// Fails if the node itself was not reached or did not answer.
+/// The outer error means that the peer was not reached, or did not answer in a valid way.
 pub async fn ask_to_relay(
     shared: &Arc<Shared>,
     address: SocketAddr,
@@ -279,18 +299,18 @@
     timeout: Millis,
 ) -> Result<Result<StoreReply, StoreError>, PeerError> {
     let body = serde_json::to_vec(call).map_err(|err| {
-        tracing::error!(%err, "a call to the store cannot be encoded");
+        tracing::error!(%err, "cannot encode a call to be relayed to the store");
         PeerError::NotSent
     })?;
     shared.metrics.event("store_call_relayed");
     let call = NodeCall::Relay(body);
     match shared.peers.call(address, call, timeout).await? {
         NodeReply::Relayed(body) => serde_json::from_slice(&body).map_err(|err| {
-            tracing::error!(%err, %address, "a relayed answer cannot be read");
+            tracing::error!(%err, %address, "cannot decode a relayed answer of the store");
             PeerError::Malformed
         }),
         reply => {
-            tracing::error!(?reply, %address, "a relayed answer is of the wrong kind");
+            tracing::error!(?reply, %address, "unexpected kind of answer to a relayed call");
             Err(PeerError::Malformed)
         }
     }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -282,7 +282,7 @@
 
     /// How long the answer to a transaction can be expected to take at most.
     pub fn store_timeout(&self) -> std::time::Duration {
-        self.store.patience()
+        self.store.timeout()
     }
 
     /// Tells whether the store is slow, or may have turned so just now.
@@ -314,7 +314,7 @@
 
     /// Watches the direct way to the store until the process ends.
     pub async fn probe_store(self: Arc<Self>) {
-        self.store.probe(Arc::clone(&self)).await;
+        self.store.probe_loop(Arc::clone(&self)).await;
     }
 
     /// Tells whether the store is reached by any way.
