--- a/src/rpc/mod.rs
+++ b/src/rpc/mod.rs
@@ -1,6 +1,7 @@
 //! The protocol between nodes: Cap'n Proto RPC over TCP.
 //!
-//! The rest of the program sees typed messages and two traits of [`node`].
+//! Other modules see only the typed messages of [`node`] and its traits `NodeLink` (calls other
+//! nodes) and `NodeService` (answers them).
 
 pub mod node;
 pub mod transport;
@@ -9,16 +10,16 @@
 #[rustfmt::skip]
 pub mod node_capnp;
 
-/// Why a call to another node brought no answer.
+/// Why a call to another node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// No connection came about, so the call was not sent.
+    /// The call was not sent: no connection could be made, or the queue of calls was full.
     #[error("could not connect to the node")]
     NotSent,
-    /// The call may have been carried out, and no answer came.
+    /// No answer arrived; the other node may have executed the call.
     #[error("the node did not answer")]
     Unanswered,
-    /// The answer could not be understood.
+    /// The answer could not be decoded.
     #[error("the node's answer is malformed")]
     Malformed,
 }
--- a/src/rpc/node.capnp
+++ b/src/rpc/node.capnp
@@ -11,29 +11,29 @@
 
 struct Request {
   union {
-    # A heartbeat, from the owner or from a node that looks for one.
+    # A heartbeat, from the owner or from a node that looks for the owner.
     beat @0 :Beat;
-    # A job whose row is durable: JSON of cell::record::JobRow.
+    # Announces a job whose row is stored durably: JSON of cell::record::JobRow.
     accepted @1 :Data;
-    # The state of the job with this id, for a node that knows no workspaces.
+    # Asks for the state of the job with this id; from a node of a version without workspaces.
     state @2 :UInt64;
-    # Cancels the job with this id, for a node that knows no workspaces.
+    # Cancels the job with this id; from a node of a version without workspaces.
     cancel @3 :UInt64;
-    # Asks the receiver to make one call to the advice service.
+    # Asks the receiver to call the advice service about where a step may run.
     advise @4 :Advise;
-    # JSON of queue::Configuration is wanted if it is newer than this version.
+    # Asks for the configuration if it is newer than this version.
     configuration @5 :UInt64;
-    # JSON of store::StoreCall, to be made on behalf of the sender.
+    # Asks the receiver to make a store call for the sender: JSON of store::StoreCall.
     relay @6 :Data;
-    # How the job with this id stands, in detail, for a node that knows no workspaces.
+    # Asks for the details of the job with this id; from a node of a version without workspaces.
     explain @7 :UInt64;
-    # Rows of jobs that the receiver writes together with its own.
+    # Job rows that the receiver writes to the store together with its own.
     write @8 :List(JobRow);
-    # The state of a job, for a caller.
+    # Asks for the state of a job on behalf of a caller.
     stateFor @9 :Question;
-    # Cancels a job, for a caller.
+    # Cancels a job on behalf of a caller.
     cancelFor @10 :Question;
-    # How a job stands in detail, for a caller.
+    # Asks for the details of a job on behalf of a caller.
     explainFor @11 :Question;
   }
 }
@@ -42,7 +42,7 @@
   job @0 :UInt64;
   caller :union {
     anonymous @1 :Void;
-    # The name of the workspace whose key the caller has.
+    # The name of the workspace whose key the caller has sent.
     workspace @2 :Text;
     operator @3 :Void;
   }
@@ -58,14 +58,16 @@
     unknownJob @4 :Void;
     # The cancellation is recorded.
     cancelled @5 :Void;
-    # The call could not be made or brought no answer; it may be made again.
+    # The call could not be served now; it may be repeated.
     unavailable @6 :Void;
     tickets @7 :List(Ticket);
+    # JSON of queue::Configuration.
     configuration @8 :Data;
+    # JSON of Result<store::StoreReply, store::StoreError>.
     relayed @9 :Data;
     # JSON of cell::view::JobView.
     explained @10 :Data;
-    # What became of each row, by the numbers of `rpc::node`.
+    # The outcome of each row, in the order of the request; `rpc::node` defines the numbers.
     written @11 :List(UInt16);
   }
 }
@@ -84,31 +86,32 @@
   leaving @5 :Bool;
   configuration @6 :UInt64;
   reachesStore @7 :Bool;
-  # Milliseconds since the sender last heard the owner of `epoch`.
+  # Milliseconds since the sender last heard the owner of `epoch`; zero if it is the owner.
   ownerSilence @8 :UInt64;
-  # What the receiver may not know of other nodes: a bounded piece.
+  # Changes of the list of nodes that the receiver may not know; their number is bounded.
   changes @9 :List(MemberChange);
   pending @10 :List(Pending);
-  # Jobs that have ended and whose end could not be recorded yet.
+  # Jobs that have ended and whose end is not recorded in the store yet.
   ends @11 :List(End);
-  # Thousandths of a core that the sender can spend on owning the cell.
+  # The CPU capacity that the sender can spend on owning the cell, in thousandths of a core.
   strength @12 :UInt32;
-  # A digest of all nodes that the sender knows.
+  # A digest of the list of nodes that the sender knows.
   membership @13 :UInt64;
-  # Where the owner of `epoch` answers, as far as the sender knows; empty if it does not.
+  # The address at which the owner of `epoch` serves other nodes; empty if it is not known.
   owner @14 :Text;
-  # From the owner: milliseconds until its next heartbeat to the receiver.
+  # Set by the owner only: milliseconds until its next heartbeat to the receiver.
   interval @15 :UInt32;
-  # Thousandths of a core that the sender's VM gives.
+  # The CPU capacity of the sender's VM, in thousandths of a core.
   millicores @16 :UInt32;
-  # One more than the milliseconds since a node that claims the cell was heard; 0 for none.
+  # One more than the milliseconds since a node that claims the cell was last heard of; 0 if the
+  # sender knows of no such node.
   claimAge @17 :UInt32;
 }
 
 struct End {
   job @0 :UInt64;
   state @1 :UInt16;
-  # The name of the job's workspace; empty if it has none, or the sender does not know.
+  # The name of the job's workspace; empty if it has none or the sender does not know it.
   workspace @2 :Text;
 }
 
@@ -116,7 +119,7 @@
   name @0 :Text;
   address @1 :Text;
   millicores @2 :UInt32;
-  # The node is not there any more.
+  # The node is no longer a member of the cell.
   gone @3 :Bool;
 }
 
--- a/src/rpc/node.rs
+++ b/src/rpc/node.rs
@@ -1,4 +1,4 @@
-//! Calls between the nodes of a cell: messages, client and server.
+//! Calls between the nodes of a cell: the messages, the client and the server.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,81 +16,83 @@
 use crate::rpc::{PeerError, transport};
 use crate::workspace::Caller;
 
-/// The unit of the messages' encoding.
+/// The size of a Cap'n Proto word, the unit of encoded messages.
 const BYTES_PER_WORD: usize = 8;
 
-/// What a node says of itself.
+/// A heartbeat: what a node reports about itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Its name.
+    /// The sender's name.
     pub name: String,
-    /// Names this start of its process.
+    /// A random number drawn at each start of its process, which tells one start from the next.
     pub boot: u64,
-    /// Where it answers other nodes.
+    /// The address at which it serves other nodes.
     pub address: String,
     /// The highest epoch that it knows.
     pub epoch: u64,
-    /// It owns the cell under that epoch.
+    /// It owns the cell under `epoch`.
     pub owns: bool,
-    /// It is about to end.
+    /// Its process is shutting down.
     pub leaving: bool,
-    /// The version of the configuration in force there.
+    /// The version of the configuration in force on it; zero if it has none.
     pub configuration: u64,
-    /// Its own way to the store works.
+    /// It reaches the store directly.
     pub reaches_store: bool,
-    /// Milliseconds since it last heard the owner.
+    /// Milliseconds since it last heard the owner of `epoch`; zero if it is the owner.
     pub owner_silence: Millis,
-    /// A digest of all nodes that it knows.
+    /// A digest of the list of nodes that it knows, with which two nodes compare their lists.
     pub membership: u64,
-    /// What the receiver may not know of other nodes.
+    /// Changes of that list that the receiver may not know; a heartbeat carries a bounded number.
     pub changes: Vec<MemberChange>,
-    /// Where the owner of the epoch answers, as far as it knows; empty if it does not.
+    /// The address at which the owner of `epoch` serves other nodes; empty if it is not known.
     pub owner: String,
-    /// Milliseconds since it heard a node that is claiming the cell, or zero if it is one; none
-    /// if it knows of no such node.
+    /// Milliseconds since it last heard of a node that is claiming the cell; zero if it is claiming
+    /// the cell itself, none if it knows of no claimant.
     pub claim_age: Option<u32>,
-    /// From the owner: milliseconds until its next heartbeat to the receiver.
+    /// Set by the owner only: milliseconds until its next heartbeat to the receiver.
     pub interval: u32,
-    /// Thousandths of a core that its VM gives.
+    /// The CPU capacity of its VM, in thousandths of a core.
     pub millicores: u32,
-    /// From the owner: jobs of which nothing has begun, by queue.
+    /// Set by the owner only: the number of jobs that have not begun, by queue.
     pub pending: Vec<(String, u32)>,
-    /// Thousandths of a core that it can spend on owning the cell; zero while it is behind.
+    /// The CPU capacity that it can spend on owning the cell, in thousandths of a core; zero while
+    /// it is overloaded.
     pub strength: u32,
-    /// Jobs that have ended and whose end could not be recorded yet.
+    /// Jobs that have ended and whose end is not recorded in the store yet, with their final state.
     pub ends: Vec<(JobId, JobState)>,
-    /// Whose those jobs are, of those that belong to a workspace.
+    /// The workspaces of the jobs in `ends`; jobs without a workspace are left out.
     pub workspaces: Vec<(JobId, String)>,
 }
 
-/// What a node says of a third one.
+/// What a node reports about a third node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberChange {
-    /// It is there.
+    /// The node is a member of the cell.
     Known {
         /// Its name.
         name: String,
-        /// Where it answers other nodes.
+        /// The address at which it serves other nodes.
         address: String,
-        /// Thousandths of a core that its VM gives.
+        /// The CPU capacity of its VM, in thousandths of a core.
         millicores: u32,
     },
-    /// The node of this name is not there any more.
+    /// The node of this name is no longer a member of the cell.
     Gone(String),
 }
 
-/// A question about a job, or its cancelling.
+/// A caller's request about one job: for its state, for its details or to cancel it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobRequest {
     /// The job.
     pub job: JobId,
-    /// Who asks.
+    /// The caller, who may see only some jobs.
     pub caller: Caller,
 }
 
 impl JobRequest {
-    /// A node of a version without workspaces asks: it has let everybody in.
-    fn of_older_node(job: u64) -> Self {
+    /// Builds a request from a node of a version without workspaces.  Such a node does not identify
+    /// its callers and lets each of them see every job, so the request counts as an operator's.
+    fn from_older_node(job: u64) -> Self {
         Self {
             job: JobId(job),
             caller: Caller::Operator,
@@ -101,15 +103,15 @@
 /// A call to another node.
 #[derive(Debug, Clone)]
 pub enum NodeCall {
-    /// Tells how the sender is.
+    /// A heartbeat of the sender, which the receiver answers with its own.
     Beat(Heartbeat),
-    /// A job whose row is durable: JSON of [`crate::cell::record::JobRow`].
+    /// Announces a job whose row is stored durably: JSON of [`crate::cell::record::JobRow`].
     Accepted(Vec<u8>),
     /// Asks for a job's state.
     State(JobRequest),
     /// Cancels a job.
     Cancel(JobRequest),
-    /// Asks the receiver to make a call to the advice service.
+    /// Asks the receiver to call the advice service about where a step may run.
     Advise {
         /// The step's name.
         step: String,
@@ -118,32 +120,33 @@
     },
     /// Asks for the configuration if it is newer than this version.
     Configuration(u64),
-    /// JSON of a [`crate::store::StoreCall`] to make for the sender.
+    /// Asks the receiver to make a store call for the sender: JSON of a
+    /// [`crate::store::StoreCall`].
     Relay(Vec<u8>),
-    /// Asks how a job stands, in detail.
+    /// Asks for the details of a job.
     Explain(JobRequest),
-    /// Rows of accepted jobs, by key, to be written together with the receiver's own.
+    /// Keys and values of job rows that the receiver writes to the store together with its own.
     Write(Vec<(String, String)>),
 }
 
 /// The answer of another node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NodeReply {
-    /// How the receiver is.
+    /// The receiver's heartbeat.
     Beat(Box<Heartbeat>),
     /// The receiver does not own the cell.
     NotOwner,
-    /// The job is taken in.
+    /// The owner has added the announced job to its cell.
     Taken,
-    /// How far a job is.
+    /// The state of the job.
     State(JobState),
-    /// There is no such job.
+    /// There is no such job, or the caller may not see it.
     UnknownJob,
     /// The cancellation is recorded.
     Cancelled,
-    /// It could not be done now; it may be tried again.
+    /// The call could not be served now; it may be repeated.
     Unavailable,
-    /// The workers that may run the step, with their tickets.
+    /// The ids of the workers that may run the step, each with its ticket.
     Tickets(Vec<(String, String)>),
     /// JSON of a [`crate::queue::Configuration`].
     Configuration(Vec<u8>),
@@ -151,12 +154,12 @@
     Relayed(Vec<u8>),
     /// JSON of a [`crate::cell::view::JobView`].
     Explained(Vec<u8>),
-    /// What became of each of the rows.
+    /// The outcome of each row, in the order of the call.
     Written(Vec<SubmitOutcome>),
 }
 
 impl NodeCall {
-    /// How many bytes the message takes between nodes.
+    /// Returns the size of the encoded message in bytes.
     pub fn wire_bytes(&self) -> usize {
         let mut message = capnp::message::Builder::new_default();
         write_call(self, message.init_root());
@@ -165,7 +168,7 @@
 }
 
 impl NodeReply {
-    /// How many bytes the message takes between nodes.
+    /// Returns the size of the encoded message in bytes.
     pub fn wire_bytes(&self) -> usize {
         let mut message = capnp::message::Builder::new_default();
         write_reply(self, message.init_root());
@@ -173,9 +176,9 @@
     }
 }
 
-/// The way to other nodes.
+/// Calls other nodes.
 pub trait NodeLink: Send + Sync {
-    /// Calls the node at `addr` and waits at most `timeout` milliseconds.
+    /// Calls the node at `addr` and waits at most `timeout` milliseconds for the answer.
     fn call(
         &self,
         addr: SocketAddr,
@@ -184,21 +187,21 @@
     ) -> BoxFuture<'_, Result<NodeReply, PeerError>>;
 }
 
-/// What answers other nodes.
+/// Answers the calls of other nodes.
 pub trait NodeService: Send + Sync {
     /// Answers one call.
     fn serve(&self, call: NodeCall) -> BoxFuture<'_, NodeReply>;
 }
 
-/// The sending half: it may be used from any task.
+/// The sending half of the link to other nodes, which any task may use.
 pub struct RpcNodeLink {
     calls: transport::Calls<NodeCall, NodeReply>,
 }
 
-/// The half that owns the connections; it must run inside a `LocalSet`.
+/// The half that owns the connections and must run inside a `LocalSet`.
 pub type RpcNodeDriver = transport::Driver<NodeProtocol>;
 
-/// Makes both halves.
+/// Creates both halves of the link to other nodes.
 pub fn link() -> (RpcNodeLink, RpcNodeDriver) {
     let (calls, driver) = transport::link();
     (RpcNodeLink { calls }, driver)
@@ -215,7 +218,7 @@
     }
 }
 
-/// The protocol of this module over any connection.
+/// The protocol between nodes, as [`transport`] carries it.
 pub struct NodeProtocol;
 
 impl transport::Protocol for NodeProtocol {
@@ -256,46 +259,46 @@
     }
 }
 
-/// Serves calls that arrive at `listener` for as long as the task lives.
+/// Serves the calls of other nodes that arrive at `listener`, until the task is dropped.
 ///
-/// Must run inside a `LocalSet`, as Cap'n Proto's objects stay on one thread.
+/// It must run inside a `LocalSet`, since Cap'n Proto's objects are bound to one thread.
 pub async fn serve(listener: TcpListener, service: Arc<dyn NodeService>) {
     let node: wire::node::Client = capnp_rpc::new_client(NodeServer { service });
     transport::serve(listener, node.client).await;
 }
 
-fn write_beat(beat: &Heartbeat, mut out: wire::beat::Builder) {
-    out.set_name(&beat.name);
-    out.set_boot(beat.boot);
-    out.set_address(&beat.address);
-    out.set_epoch(beat.epoch);
-    out.set_owns(beat.owns);
-    out.set_leaving(beat.leaving);
-    out.set_configuration(beat.configuration);
-    out.set_reaches_store(beat.reaches_store);
-    out.set_owner_silence(beat.owner_silence);
-    out.set_strength(beat.strength);
-    out.set_membership(beat.membership);
-    out.set_owner(&beat.owner);
-    out.set_interval(beat.interval);
-    out.set_millicores(beat.millicores);
-    out.set_claim_age(beat.claim_age.map_or(0, |age| age.saturating_add(1)));
-    let mut changes = out.reborrow().init_changes(beat.changes.len() as u32);
-    for (place, change) in beat.changes.iter().enumerate() {
-        write_change(change, changes.reborrow().get(place as u32));
+fn write_heartbeat(heartbeat: &Heartbeat, mut out: wire::beat::Builder) {
+    out.set_name(&heartbeat.name);
+    out.set_boot(heartbeat.boot);
+    out.set_address(&heartbeat.address);
+    out.set_epoch(heartbeat.epoch);
+    out.set_owns(heartbeat.owns);
+    out.set_leaving(heartbeat.leaving);
+    out.set_configuration(heartbeat.configuration);
+    out.set_reaches_store(heartbeat.reaches_store);
+    out.set_owner_silence(heartbeat.owner_silence);
+    out.set_strength(heartbeat.strength);
+    out.set_membership(heartbeat.membership);
+    out.set_owner(&heartbeat.owner);
+    out.set_interval(heartbeat.interval);
+    out.set_millicores(heartbeat.millicores);
+    out.set_claim_age(heartbeat.claim_age.map_or(0, |age| age.saturating_add(1)));
+    let mut changes = out.reborrow().init_changes(heartbeat.changes.len() as u32);
+    for (index, change) in heartbeat.changes.iter().enumerate() {
+        write_change(change, changes.reborrow().get(index as u32));
     }
-    let mut pending = out.reborrow().init_pending(beat.pending.len() as u32);
-    for (place, (queue, jobs)) in beat.pending.iter().enumerate() {
-        let mut entry = pending.reborrow().get(place as u32);
+    let mut pending = out.reborrow().init_pending(heartbeat.pending.len() as u32);
+    for (index, (queue, jobs)) in heartbeat.pending.iter().enumerate() {
+        let mut entry = pending.reborrow().get(index as u32);
         entry.set_queue(queue);
         entry.set_jobs(*jobs);
     }
-    let mut ends = out.init_ends(beat.ends.len() as u32);
-    for (place, (job, state)) in beat.ends.iter().enumerate() {
-        let mut entry = ends.reborrow().get(place as u32);
+    let mut ends = out.init_ends(heartbeat.ends.len() as u32);
+    for (index, (job, state)) in heartbeat.ends.iter().enumerate() {
+        let mut entry = ends.reborrow().get(index as u32);
         entry.set_job(job.0);
         entry.set_state(state_number(*state));
-        let mut workspaces = beat.workspaces.iter();
+        let mut workspaces = heartbeat.workspaces.iter();
         if let Some((_, workspace)) = workspaces.find(|(other, _)| other == job) {
             entry.set_workspace(workspace);
         }
@@ -332,92 +335,92 @@
     })
 }
 
-fn read_beat(beat: wire::beat::Reader) -> capnp::Result<Heartbeat> {
+fn read_heartbeat(heartbeat: wire::beat::Reader) -> capnp::Result<Heartbeat> {
     let mut changes = Vec::new();
-    for change in beat.get_changes()? {
+    for change in heartbeat.get_changes()? {
         changes.push(read_change(change)?);
     }
     let mut pending = Vec::new();
-    for entry in beat.get_pending()? {
+    for entry in heartbeat.get_pending()? {
         pending.push((entry.get_queue()?.to_string()?, entry.get_jobs()));
     }
     let mut ends = Vec::new();
     let mut workspaces = Vec::new();
-    for entry in beat.get_ends()? {
+    for entry in heartbeat.get_ends()? {
         let job = JobId(entry.get_job());
-        ends.push((job, numbered_state(entry.get_state())?));
+        ends.push((job, state_from_number(entry.get_state())?));
         let workspace = entry.get_workspace()?.to_string()?;
         if !workspace.is_empty() {
             workspaces.push((job, workspace));
         }
     }
     Ok(Heartbeat {
-        name: beat.get_name()?.to_string()?,
-        boot: beat.get_boot(),
-        address: beat.get_address()?.to_string()?,
-        epoch: beat.get_epoch(),
-        owns: beat.get_owns(),
-        leaving: beat.get_leaving(),
-        configuration: beat.get_configuration(),
-        reaches_store: beat.get_reaches_store(),
-        owner_silence: beat.get_owner_silence(),
-        strength: beat.get_strength(),
-        membership: beat.get_membership(),
+        name: heartbeat.get_name()?.to_string()?,
+        boot: heartbeat.get_boot(),
+        address: heartbeat.get_address()?.to_string()?,
+        epoch: heartbeat.get_epoch(),
+        owns: heartbeat.get_owns(),
+        leaving: heartbeat.get_leaving(),
+        configuration: heartbeat.get_configuration(),
+        reaches_store: heartbeat.get_reaches_store(),
+        owner_silence: heartbeat.get_owner_silence(),
+        strength: heartbeat.get_strength(),
+        membership: heartbeat.get_membership(),
         changes,
-        owner: beat.get_owner()?.to_string()?,
-        interval: beat.get_interval(),
-        claim_age: beat.get_claim_age().checked_sub(1),
-        millicores: beat.get_millicores(),
+        owner: heartbeat.get_owner()?.to_string()?,
+        interval: heartbeat.get_interval(),
+        claim_age: heartbeat.get_claim_age().checked_sub(1),
+        millicores: heartbeat.get_millicores(),
         pending,
         ends,
         workspaces,
     })
 }
 
-fn write_question(question: &JobRequest, mut out: wire::question::Builder) {
-    out.set_job(question.job.0);
+fn write_job_request(request: &JobRequest, mut out: wire::question::Builder) {
+    out.set_job(request.job.0);
     let mut caller = out.init_caller();
-    match &question.caller {
+    match &request.caller {
         Caller::Anonymous => caller.set_anonymous(()),
         Caller::Workspace(name) => caller.set_workspace(name),
         Caller::Operator => caller.set_operator(()),
     }
 }
 
-fn read_question(question: wire::question::Reader) -> capnp::Result<JobRequest> {
+fn read_job_request(request: wire::question::Reader) -> capnp::Result<JobRequest> {
     use wire::question::caller;
-    let caller = match question.get_caller().which()? {
+    let caller = match request.get_caller().which()? {
         caller::Anonymous(()) => Caller::Anonymous,
         caller::Workspace(name) => Caller::Workspace(name?.to_string()?),
         caller::Operator(()) => Caller::Operator,
     };
     Ok(JobRequest {
-        job: JobId(question.get_job()),
+        job: JobId(request.get_job()),
         caller,
     })
 }
 
 fn write_call(call: &NodeCall, mut out: wire::request::Builder) {
     match call {
-        NodeCall::Beat(beat) => write_beat(beat, out.init_beat()),
+        NodeCall::Beat(heartbeat) => write_heartbeat(heartbeat, out.init_beat()),
         NodeCall::Accepted(row) => out.set_accepted(row),
-        NodeCall::State(question) => write_question(question, out.init_state_for()),
-        NodeCall::Cancel(question) => write_question(question, out.init_cancel_for()),
+        NodeCall::State(request) => write_job_request(request, out.init_state_for()),
+        NodeCall::Cancel(request) => write_job_request(request, out.init_cancel_for()),
         NodeCall::Advise { step, workers } => {
             let mut advise = out.init_advise();
             advise.set_step(step);
             let mut list = advise.init_workers(workers.len() as u32);
-            for (place, worker) in workers.iter().enumerate() {
-                list.set(place as u32, worker);
+            for (index, worker) in workers.iter().enumerate() {
+                list.set(index as u32, worker);
             }
         }
         NodeCall::Configuration(version) => out.set_configuration(*version),
         NodeCall::Relay(call) => out.set_relay(call),
-        NodeCall::Explain(question) => write_question(question, out.init_explain_for()),
+        NodeCall::Explain(request) => write_job_request(request, out.init_explain_for()),
         NodeCall::Write(rows) => {
             let mut list = out.init_write(rows.len() as u32);
-            for (place, (key, value)) in rows.iter().enumerate() {
-                let mut row = list.reborrow().get(place as u32);
+            for (index, (key, value)) in rows.iter().enumerate() {
+                let mut row = list.reborrow().get(index as u32);
                 row.set_key(key);
                 row.set_value(value);
             }
@@ -427,13 +430,13 @@
 
 fn read_call(call: wire::request::Reader) -> capnp::Result<NodeCall> {
     Ok(match call.which()? {
-        wire::request::Beat(beat) => NodeCall::Beat(read_beat(beat?)?),
+        wire::request::Beat(heartbeat) => NodeCall::Beat(read_heartbeat(heartbeat?)?),
         wire::request::Accepted(row) => NodeCall::Accepted(row?.to_vec()),
-        wire::request::State(id) => NodeCall::State(JobRequest::of_older_node(id)),
-        wire::request::Cancel(id) => NodeCall::Cancel(JobRequest::of_older_node(id)),
-        wire::request::StateFor(question) => NodeCall::State(read_question(question?)?),
-        wire::request::CancelFor(question) => NodeCall::Cancel(read_question(question?)?),
-        wire::request::ExplainFor(question) => NodeCall::Explain(read_question(question?)?),
+        wire::request::State(id) => NodeCall::State(JobRequest::from_older_node(id)),
+        wire::request::Cancel(id) => NodeCall::Cancel(JobRequest::from_older_node(id)),
+        wire::request::StateFor(request) => NodeCall::State(read_job_request(request?)?),
+        wire::request::CancelFor(request) => NodeCall::Cancel(read_job_request(request?)?),
+        wire::request::ExplainFor(request) => NodeCall::Explain(read_job_request(request?)?),
         wire::request::Advise(advise) => {
             let advise = advise?;
             let mut workers = Vec::new();
@@ -447,7 +450,7 @@
         }
         wire::request::Configuration(version) => NodeCall::Configuration(version),
         wire::request::Relay(call) => NodeCall::Relay(call?.to_vec()),
-        wire::request::Explain(id) => NodeCall::Explain(JobRequest::of_older_node(id)),
+        wire::request::Explain(id) => NodeCall::Explain(JobRequest::from_older_node(id)),
         wire::request::Write(rows) => {
             let mut list = Vec::new();
             for row in rows? {
@@ -460,7 +463,7 @@
 
 fn write_reply(reply: &NodeReply, mut out: wire::reply::Builder) {
     match reply {
-        NodeReply::Beat(beat) => write_beat(beat, out.init_beat()),
+        NodeReply::Beat(heartbeat) => write_heartbeat(heartbeat, out.init_beat()),
         NodeReply::NotOwner => out.set_not_owner(()),
         NodeReply::Taken => out.set_taken(()),
         NodeReply::State(state) => out.set_state(state_number(*state)),
@@ -469,8 +472,8 @@
         NodeReply::Unavailable => out.set_unavailable(()),
         NodeReply::Tickets(tickets) => {
             let mut list = out.init_tickets(tickets.len() as u32);
-            for (place, (worker, ticket)) in tickets.iter().enumerate() {
-                let mut entry = list.reborrow().get(place as u32);
+            for (index, (worker, ticket)) in tickets.iter().enumerate() {
+                let mut entry = list.reborrow().get(index as u32);
                 entry.set_worker(worker);
                 entry.set_ticket(ticket);
             }
@@ -480,8 +483,8 @@
         NodeReply::Explained(view) => out.set_explained(view),
         NodeReply::Written(outcomes) => {
             let mut list = out.init_written(outcomes.len() as u32);
-            for (place, outcome) in outcomes.iter().enumerate() {
-                list.set(place as u32, outcome_number(*outcome));
+            for (index, outcome) in outcomes.iter().enumerate() {
+                list.set(index as u32, outcome_number(*outcome));
             }
         }
     }
@@ -489,10 +492,10 @@
 
 fn read_reply(reply: wire::reply::Reader) -> capnp::Result<NodeReply> {
     Ok(match reply.which()? {
-        wire::reply::Beat(beat) => NodeReply::Beat(Box::new(read_beat(beat?)?)),
+        wire::reply::Beat(heartbeat) => NodeReply::Beat(Box::new(read_heartbeat(heartbeat?)?)),
         wire::reply::NotOwner(()) => NodeReply::NotOwner,
         wire::reply::Taken(()) => NodeReply::Taken,
-        wire::reply::State(number) => NodeReply::State(numbered_state(number)?),
+        wire::reply::State(number) => NodeReply::State(state_from_number(number)?),
         wire::reply::UnknownJob(()) => NodeReply::UnknownJob,
         wire::reply::Cancelled(()) => NodeReply::Cancelled,
         wire::reply::Unavailable(()) => NodeReply::Unavailable,
@@ -510,11 +513,12 @@
         wire::reply::Relayed(body) => NodeReply::Relayed(body?.to_vec()),
         wire::reply::Explained(view) => NodeReply::Explained(view?.to_vec()),
         wire::reply::Written(numbers) => {
-            NodeReply::Written(numbers?.iter().map(numbered_outcome).collect())
+            NodeReply::Written(numbers?.iter().map(outcome_from_number).collect())
         }
     })
 }
 
+/// An outcome is encoded as its index here, so the order is part of the protocol.
 const OUTCOMES: [SubmitOutcome; 5] = [
     SubmitOutcome::Doubtful,
     SubmitOutcome::Accepted,
@@ -530,14 +534,16 @@
         .unwrap_or_default() as u16
 }
 
-/// An outcome that is not known here leaves it open whether the row was written.
-fn numbered_outcome(number: u16) -> SubmitOutcome {
+/// Decodes an outcome.  A number that is not known here counts as `Doubtful`: the row may have been
+/// written or not.
+fn outcome_from_number(number: u16) -> SubmitOutcome {
     OUTCOMES
         .get(usize::from(number))
         .copied()
         .unwrap_or(SubmitOutcome::Doubtful)
 }
 
+/// A state is encoded as its index here, so the order is part of the protocol.
 const STATES: [JobState; 5] = [
     JobState::Queued,
     JobState::Running,
@@ -553,7 +559,7 @@
         .unwrap_or_default() as u16
 }
 
-fn numbered_state(number: u16) -> capnp::Result<JobState> {
+fn state_from_number(number: u16) -> capnp::Result<JobState> {
     STATES
         .get(usize::from(number))
         .copied()
--- a/src/rpc/transport.rs
+++ b/src/rpc/transport.rs
@@ -1,8 +1,8 @@
-//! The plumbing under the protocol between nodes: a queue of calls that any task may
-//! fill, kept connections, and the loop that accepts them.
+//! The transport of the protocol between nodes: a queue of calls, the connections over which they
+//! are made, and the loop that accepts connections.
 //!
-//! Cap'n Proto's objects stay on one thread, so connections live inside a `LocalSet`,
-//! while callers may be anywhere.
+//! Cap'n Proto's objects are bound to one thread, so connections live inside a `LocalSet`.  The
+//! queue lets tasks on any thread make calls over them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,35 +23,35 @@
 use crate::rpc::PeerError;
 use crate::{keep_alive, timeout};
 
-/// How many calls may wait to be picked up: some seconds of the busiest process's calls.
+/// How many calls may wait in the queue: as many as the busiest process makes in some seconds.
 const QUEUE_LENGTH: usize = 4_096;
-/// How long a connection may take to come about: halls are milliseconds apart.
+/// How long connecting may take: the round trip between halls is some milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A call that waits to be carried out.
-pub struct Pending<C, R> {
-    /// The process that is called.
+/// A queued call.
+pub struct PendingCall<C, R> {
+    /// The address of the called node.
     addr: SocketAddr,
-    /// The call.
     call: C,
-    /// How long the answer may take.
+    /// How long the exchange over a connection may take.  Connecting may take as long before that,
+    /// but at most [`CONNECT_TIMEOUT`].
     timeout: Duration,
     answer: oneshot::Sender<Result<R, PeerError>>,
 }
 
-impl<C, R> Pending<C, R> {
-    /// Passes the answer on; whoever asked may have given up.
+impl<C, R> PendingCall<C, R> {
+    /// Passes the answer to the caller, which may have been dropped meanwhile.
     fn answer(self, reply: Result<R, PeerError>) {
         let _ = self.answer.send(reply);
     }
 }
 
-/// The sending end of a queue of calls: it may be used from any task.
+/// The sending end of a queue of calls, which any task may use.
 pub struct Calls<C, R> {
-    tx: mpsc::Sender<Pending<C, R>>,
+    tx: mpsc::Sender<PendingCall<C, R>>,
 }
 
-/// Makes both ends of a queue of calls.
+/// Creates both ends of a queue of calls.
 pub fn link<P: Protocol>() -> (Calls<P::Call, P::Reply>, Driver<P>) {
     let (tx, rx) = mpsc::channel(QUEUE_LENGTH);
     (Calls { tx }, Driver { rx })
@@ -61,10 +61,10 @@
     /// Queues a call and waits for its answer.
     ///
     /// # Errors
-    /// See [`PeerError`]; a full queue counts as not sent.
+    /// See [`PeerError`]; if the queue is full, this fails with [`PeerError::NotSent`].
     pub async fn call(&self, addr: SocketAddr, call: C, timeout: Millis) -> Result<R, PeerError> {
         let (answer, rx) = oneshot::channel();
-        let pending = Pending {
+        let pending = PendingCall {
             addr,
             call,
             timeout: Duration::from_millis(timeout),
@@ -75,88 +75,94 @@
     }
 }
 
-/// What a protocol brings along: the interface, and one exchange over it.
+/// A request-response protocol over a Cap'n Proto interface.
 pub trait Protocol: 'static {
-    /// The interface of the other process.
+    /// The client of the interface that the other process serves.
     type Client: FromClientHook + Clone + 'static;
-    /// A call.
+    /// The message of a call.
     type Call: 'static;
-    /// Its answer.
+    /// The message of an answer.
     type Reply: 'static;
 
-    /// Makes one call over a connection.
+    /// Makes one call over a connection and waits for its answer.
+    ///
+    /// # Errors
+    /// Fails with [`PeerError::Unanswered`] if no answer arrives, and with
+    /// [`PeerError::Malformed`] if it cannot be decoded.
     fn exchange(
         client: &Self::Client,
         call: &Self::Call,
     ) -> impl Future<Output = Result<Self::Reply, PeerError>>;
 }
 
-/// The half that owns the connections; it must run inside a `LocalSet`.
+/// The receiving end of a queue of calls, which owns the connections; it must run inside a
+/// `LocalSet`.
 pub struct Driver<P: Protocol> {
-    rx: mpsc::Receiver<Pending<P::Call, P::Reply>>,
+    rx: mpsc::Receiver<PendingCall<P::Call, P::Reply>>,
 }
 
 impl<P: Protocol> Driver<P> {
-    /// Carries out calls until the sending end is gone.
+    /// Makes the queued calls, each in a task of its own, until the sending end is dropped.
     pub async fn run(mut self) {
         let connections = Connections::new();
         while let Some(pending) = self.rx.recv().await {
             let connections = Rc::clone(&connections);
             task::spawn_local(async move {
-                let reply = carry_out::<P>(&connections, &pending).await;
+                let reply = execute::<P>(&connections, &pending).await;
                 pending.answer(reply);
             });
         }
     }
 }
 
-async fn carry_out<P: Protocol>(
+async fn execute<P: Protocol>(
     connections: &Rc<Connections<P::Client>>,
-    pending: &Pending<P::Call, P::Reply>,
+    pending: &PendingCall<P::Call, P::Reply>,
 ) -> Result<P::Reply, PeerError> {
     let connection = connections.get(pending.addr, pending.timeout).await?;
     let exchange = P::exchange(&connection.client, &pending.call);
     connections
-        .bounded(pending.addr, &connection, pending.timeout, exchange)
+        .with_timeout(pending.addr, &connection, pending.timeout, exchange)
         .await
 }
 
-/// A connection; it is closed when nobody holds it any more, also if the other side has
-/// gone silent and will never close it.
+/// A connection to another node.  It is closed when its last user drops it, also if the other node
+/// has gone silent and would never close it.
 struct Connection<C> {
     client: C,
-    system: task::JoinHandle<()>,
+    /// The task that reads and writes the messages; it ends when the connection is closed.
+    rpc_task: task::JoinHandle<()>,
 }
 
 impl<C> Drop for Connection<C> {
     fn drop(&mut self) {
-        self.system.abort();
+        self.rpc_task.abort();
     }
 }
 
-/// Connections that are kept, by address.
+/// The newest connection to each address.
 struct Connections<C> {
-    known: Mutex<HashMap<SocketAddr, Rc<Connection<C>>>>,
+    by_address: Mutex<HashMap<SocketAddr, Rc<Connection<C>>>>,
 }
 
 impl<C: FromClientHook + Clone + 'static> Connections<C> {
-    /// Makes an empty set.
     fn new() -> Rc<Self> {
         Rc::new(Self {
-            known: Mutex::default(),
+            by_address: Mutex::default(),
         })
     }
 
-    /// The connection to `addr`, made if there is none, within `timeout` like the call.
+    /// Returns the connection to `addr`.  If there is none, connects within `timeout`, at most
+    /// [`CONNECT_TIMEOUT`].
     ///
     /// # Errors
-    /// Fails with [`PeerError::NotSent`] if none comes about.
+    /// Fails with [`PeerError::NotSent`] if connecting fails or takes too long.
     async fn get(
         self: &Rc<Self>,
         addr: SocketAddr,
         timeout: Duration,
     ) -> Result<Rc<Connection<C>>, PeerError> {
-        if let Some(connection) = self.usable(addr) {
+        if let Some(connection) = self.find_open(addr) {
             return Ok(connection);
         }
         let limit = timeout.min(CONNECT_TIMEOUT);
@@ -164,37 +170,41 @@
         let stream = connecting
             .map_err(|_| PeerError::NotSent)?
             .map_err(|_| PeerError::NotSent)?;
-        // Another call may have been faster.
-        if let Some(connection) = self.usable(addr) {
+        // Another call may have connected meanwhile; then its connection is used and ours closed.
+        if let Some(connection) = self.find_open(addr) {
             return Ok(connection);
         }
-        let connection = Rc::new(start(stream, addr));
+        let connection = Rc::new(open(stream, addr));
         self.lock().insert(addr, Rc::clone(&connection));
         Ok(connection)
     }
 
-    fn usable(&self, addr: SocketAddr) -> Option<Rc<Connection<C>>> {
-        let known = self.lock();
-        let connection = known.get(&addr)?;
-        (!connection.system.is_finished()).then(|| Rc::clone(connection))
+    /// Finds the connection to `addr` if it is still open.
+    fn find_open(&self, addr: SocketAddr) -> Option<Rc<Connection<C>>> {
+        let by_address = self.lock();
+        let connection = by_address.get(&addr)?;
+        (!connection.rpc_task.is_finished()).then(|| Rc::clone(connection))
     }
 
-    /// Does not use this connection to `addr` any more; one that has taken its place stays.
-    fn forget(&self, addr: SocketAddr, connection: &Rc<Connection<C>>) {
-        let mut known = self.lock();
-        if known
+    /// Removes this connection to `addr` so that no further call uses it, unless another one has
+    /// replaced it already.
+    fn remove(&self, addr: SocketAddr, connection: &Rc<Connection<C>>) {
+        let mut by_address = self.lock();
+        if by_address
             .get(&addr)
-            .is_some_and(|known| Rc::ptr_eq(known, connection))
+            .is_some_and(|current| Rc::ptr_eq(current, connection))
         {
-            known.remove(&addr);
+            by_address.remove(&addr);
         }
     }
 
-    /// Waits for an answer, and gives the connection up if none comes in time.
+    /// Waits for an answer.  If none arrives in time, removes the connection, since it may have
+    /// gone silent.
     ///
     /// # Errors
-    /// Passes on the error of `exchange`, or [`PeerError::Unanswered`].
-    async fn bounded<R>(
+    /// Fails with the error of `exchange`, or with [`PeerError::Unanswered`] if no answer arrives
+    /// in time.
+    async fn with_timeout<R>(
         &self,
         addr: SocketAddr,
         connection: &Rc<Connection<C>>,
@@ -204,51 +214,50 @@
         let answer = timeout::wait_until(Instant::now() + timeout, exchange).await;
         let answer = answer.unwrap_or(Err(PeerError::Unanswered));
         if matches!(answer, Err(PeerError::Unanswered)) {
-            self.forget(addr, connection);
+            self.remove(addr, connection);
         }
         answer
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Rc<Connection<C>>>> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+        self.by_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn start<C: FromClientHook + Clone + 'static>(
-    stream: TcpStream,
-    addr: SocketAddr,
-) -> Connection<C> {
+fn open<C: FromClientHook + Clone + 'static>(stream: TcpStream, addr: SocketAddr) -> Connection<C> {
     let network = network(stream, rpc_twoparty_capnp::Side::Client);
     let mut system = RpcSystem::new(Box::new(network), None);
     let client: C = system.bootstrap(rpc_twoparty_capnp::Side::Server);
-    let system = task::spawn_local(async move {
+    let rpc_task = task::spawn_local(async move {
         if let Err(err) = system.await {
             tracing::debug!(%err, %addr, "connection ended");
         }
     });
-    Connection { client, system }
+    Connection { client, rpc_task }
 }
 
-/// Serves calls that arrive at `listener` for as long as the task lives.
+/// Serves the calls that arrive at `listener`, until the task is dropped.
 ///
-/// Must run inside a `LocalSet`.
+/// It must run inside a `LocalSet`.
 pub async fn serve(listener: TcpListener, server: capnp::capability::Client) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 if let Err(err) = keep_alive::set_peer_timeouts(&stream) {
-                    tracing::warn!(%err, "a connection that goes silent is given back late");
+                    tracing::warn!(%err, "no keep-alive; a silent connection is closed late");
                 }
                 let network = network(stream, rpc_twoparty_capnp::Side::Server);
                 let system = RpcSystem::new(Box::new(network), Some(server.clone()));
                 task::spawn_local(async move {
                     if let Err(err) = system.await {
-                        tracing::debug!(%err, "a connection from another process ended");
+                        tracing::debug!(%err, "connection from another node ended");
                     }
                 });
             }
             Err(err) => {
-                tracing::warn!(%err, "a connection from another process was not accepted");
+                tracing::warn!(%err, "cannot accept a connection from another node");
                 task::yield_now().await;
             }
         }
@@ -260,7 +269,7 @@
     side: rpc_twoparty_capnp::Side,
 ) -> twoparty::VatNetwork<impl futures::AsyncRead + Unpin + 'static> {
     if let Err(err) = stream.set_nodelay(true) {
-        tracing::debug!(%err, "small messages may be delayed");
+        tracing::debug!(%err, "cannot set TCP_NODELAY; small messages may be delayed");
     }
     let (reader, writer) = stream.compat().split();
     twoparty::VatNetwork::new(
