--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,17 +1,17 @@
-//! Time as the decision cores see it: monotonic milliseconds, handed in.
+//! Clocks, and the time type of the scheduling core.
 //!
-//! No core reads a clock of its own, so a test can replay any order of events.
+//! The core reads no clock: the time is passed in, so tests can replay any sequence of events.
 
 use std::time::{self, Duration};
 
 use nix::time::ClockId;
 
-/// Milliseconds of one process's monotonic clock.  Readings of two processes
-/// are never compared; see "Clocks" in `docs/DESIGN.md`.
+/// Milliseconds of one process's monotonic clock.  Readings of different processes are never
+/// compared; see "Clocks" in `docs/DESIGN.md`.
 pub type Millis = u64;
 
-/// Milliseconds since 1970 by the VM's time of day, which only scheduled jobs need; a
-/// time of day before 1970 counts as 1970.
+/// Returns the Unix time of the VM in milliseconds, which only scheduled jobs need.  A system time
+/// before 1970 counts as zero.
 pub fn unix_time() -> Millis {
     time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
@@ -24,22 +24,24 @@
     fn now(&self) -> Millis;
 }
 
-/// The clock of the operating system that also counts the time in which the VM was suspended: to
-/// the others that is silence like any other, so an owner must not take what it believed before
-/// for as young as it was.
+/// The operating system's boot-time clock, which also counts the time in which the VM was
+/// suspended.  To other nodes a suspension is a silence like any other, so an owner that resumes
+/// must not treat what it learned before the suspension as recent.
 #[derive(Debug)]
 pub struct SystemClock {
     start: Duration,
 }
 
-/// The time since the VM was booted, suspensions included.
+/// Returns the time since the VM was booted, including suspensions.
 fn since_boot() -> Duration {
     let reading = ClockId::CLOCK_BOOTTIME.now();
-    reading.expect("Linux has this clock since 2.6.39").into()
+    reading
+        .expect("CLOCK_BOOTTIME exists since Linux 2.6.39")
+        .into()
 }
 
 impl SystemClock {
-    /// Starts counting at one, so that zero can stand for "never".
+    /// Creates a clock whose first reading is one, so that zero can stand for "never".
     pub fn new() -> Self {
         Self {
             start: since_boot(),
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the library; what callers are told stands in `refusal`.
+//! Errors of the library.  `refusal` defines the errors that callers and operators get.
 
 use std::io;
 use std::path;
@@ -6,15 +6,15 @@
 /// The result type of the library.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A failure of the program itself, as opposed to a refusal of a request.
+/// A failure of the program, as opposed to the refusal of a request.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The settings file cannot be read.
     #[error("cannot read settings file {}: {source}", path.display())]
     SettingsFile {
-        /// The file that was named.
+        /// The path of the settings file.
         path: path::PathBuf,
-        /// What the operating system said.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// The settings break one or more rules; all are listed.
@@ -26,23 +26,23 @@
     /// An address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address that was asked for.
+        /// The configured address.
         address: std::net::SocketAddr,
-        /// What the operating system said.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The metrics registry refused a collector.
+    /// The metrics registry rejected a collector or could not encode one.
     #[error("metrics registry: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// The HTTP server ended early.
+    /// The HTTP server stopped with an error.
     #[error("http server: {0}")]
     HttpServer(Box<dyn std::error::Error + Send + Sync>),
     /// The operators' token cannot be read.
     #[error("cannot read the operators' token in {}: {source}", path.display())]
     Token {
-        /// The file that was named.
+        /// The path of the token file.
         path: path::PathBuf,
-        /// What the operating system said.
+        /// The error from the operating system.
         source: io::Error,
     },
 }
@@ -64,7 +64,7 @@
 /// The rule that a setting breaks.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsRule {
-    /// The key is not one of ours.
+    /// There is no setting with this key.
     #[error("no such key")]
     UnknownKey,
     /// The key must be given.
@@ -75,7 +75,7 @@
     WrongType {
         /// The value that was given.
         value: String,
-        /// The type that is expected, with its article.
+        /// The expected type, with its article.
         expected: &'static str,
     },
     /// The value contradicts another one.
@@ -84,10 +84,10 @@
         /// Which values contradict each other, and how.
         reason: &'static str,
     },
-    /// The file is not INI.
+    /// The file is not valid INI.
     #[error("not INI: {detail}")]
     Syntax {
-        /// What the parser said.
+        /// The parser's message.
         detail: String,
     },
 }
--- a/src/keep_alive.rs
+++ b/src/keep_alive.rs
@@ -1,7 +1,7 @@
-//! Noticing that a connection has gone silent.
+//! Detection of silent TCP connections by the kernel.
 //!
-//! A connection may stop carrying bytes for good without a reset, while new ones to the
-//! same place work.  Only limits of our own show it ([the design](../docs/DESIGN.md),
+//! A connection may stop carrying bytes for good without a reset, while new connections to the same
+//! address work.  Only timeouts on this side detect that ([the design](../docs/DESIGN.md),
 //! "Connections that go silent").
 
 use std::io;
@@ -11,56 +11,59 @@
 use tokio::net::{TcpStream, ToSocketAddrs};
 use tokio::time::Instant;
 
-/// How long bytes that we sent may stay unacknowledged, beyond some round trips.  The kernel
-/// of a busy or slow machine acknowledges all the same, so this tells silence from slowness.
-/// On days of silence 400 ms earned 0.008 to 0.016 less of the worth (6 seeds each).
+/// How long sent bytes may stay unacknowledged, in addition to `ACK_ROUND_TRIPS`.  The kernel of a
+/// busy or slow machine still acknowledges in time, so this tells a silent connection from a slow
+/// peer.  With 400 ms, simulated days with silent connections scored 0.008 to 0.016 lower (share of
+/// the callers' payments earned, net of costs; 6 seeds each).
 const ACK_TIMEOUT: Duration = Duration::from_millis(150);
-/// So many round trips are added: halls are 1 to 4 ms apart, regions may be a hundred times that.
+/// The number of round trips added to `ACK_TIMEOUT`: the round trip between halls takes 1 to 4 ms,
+/// between regions possibly a hundred times that.
 const ACK_ROUND_TRIPS: u32 = 3;
-/// A round trip that is measured longer, as when the first packet is lost, counts as this.
+/// The maximum round trip that is assumed.  A longer measurement may be due to a lost first packet.
 const MAX_ROUND_TRIP: Duration = Duration::from_millis(300);
-/// How long bytes for another node that has called us may stay unacknowledged: it opens a new
-/// connection by itself, and only our memory is at stake.
+/// How long sent bytes may stay unacknowledged on a connection that another node has opened.  That
+/// node opens a new one by itself, so a silent connection only costs memory here.
 const PEER_ACK_TIMEOUT: Duration = Duration::from_secs(1);
-/// An idle connection is probed after this time: the least that the kernel takes.
+/// The idle time after which a connection is probed: the minimum that the kernel accepts.
 const PROBE_IDLE_TIME: Duration = Duration::from_secs(1);
-/// How long bytes for a caller may stay unacknowledged.  Callers open new connections by
-/// themselves; only our memory and descriptors are at stake.
+/// How long bytes sent to a caller may stay unacknowledged.  Callers open new connections by
+/// themselves, so a silent connection only costs memory and a descriptor here.
 const CALLER_ACK_TIMEOUT: Duration = Duration::from_secs(5);
-/// An idle connection of a caller is probed after this time.
+/// The idle time after which a caller's connection is probed.
 const CALLER_PROBE_IDLE_TIME: Duration = Duration::from_secs(5);
-/// The pause between two probes: the least that the kernel takes.
+/// The time between two probes: the minimum that the kernel accepts.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// So many unanswered probes end a connection.
+/// The number of unanswered probes after which the kernel closes the connection.
 const MAX_UNANSWERED_PROBES: u32 = 2;
 
-/// Connects, and has the kernel end the connection soon after it goes silent.
+/// Connects to `addr`, and has the kernel close the connection soon after it goes silent.
 ///
 /// # Errors
-/// Fails if no connection comes about.
+/// Fails if the connection cannot be established.
 pub async fn connect(addr: impl ToSocketAddrs) -> io::Result<TcpStream> {
     let began = Instant::now();
     let stream = TcpStream::connect(addr).await?;
     let round_trip = began.elapsed().min(MAX_ROUND_TRIP);
     let limit = ACK_TIMEOUT + ACK_ROUND_TRIPS * round_trip;
     if let Err(err) = set_timeouts(&stream, limit, PROBE_IDLE_TIME) {
-        tracing::warn!(%err, "a connection that goes silent is noticed late");
+        tracing::warn!(%err, "cannot set TCP timeouts; a silent connection will be detected late");
     }
     Ok(stream)
 }
 
-/// Has the kernel end another node's connection some time after it went silent.
+/// Has the kernel close a connection from another node 1 s after it goes silent, or some 2 s if it
+/// is idle.
 ///
 /// # Errors
-/// Fails if the kernel does not take an option.
+/// Fails if the kernel rejects an option.
 pub fn set_peer_timeouts(stream: &TcpStream) -> io::Result<()> {
     set_timeouts(stream, PEER_ACK_TIMEOUT, PROBE_IDLE_TIME)
 }
 
-/// Has the kernel end a caller's connection some seconds after it went silent.
+/// Has the kernel close a caller's connection 5 s after it goes silent, or some 7 s if it is idle.
 ///
 /// # Errors
-/// Fails if the kernel does not take an option.
+/// Fails if the kernel rejects an option.
 pub fn set_caller_timeouts(stream: &TcpStream) -> io::Result<()> {
     set_timeouts(stream, CALLER_ACK_TIMEOUT, CALLER_PROBE_IDLE_TIME)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
-//! Crossweir is a cluster scheduler for services, batch jobs, gang jobs and
-//! short urgent jobs.
+//! Crossweir is a cluster scheduler for services, batch jobs, gang jobs and short urgent jobs.
 //!
-//! The library holds all of the behaviour; the binaries under `src/bin` only
-//! read settings and call it.  `docs/DESIGN.md` explains how the parts fit.
+//! The library implements all behaviour; the binaries under `src/bin` only read settings and call
+//! it.  `docs/DESIGN.md` describes the architecture.
 
 pub mod cell;
 pub mod cli;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard output, which never hold the program up.
+//! Logging to standard output as JSON lines, without ever blocking the program.
 
 use std::error::Error;
 
@@ -13,7 +13,7 @@
     tracing_subscriber::fmt()
         .json()
         .flatten_event(true)
-        // The module's name would be an eighth of all bytes, and no reader asks for it.
+        // The module path would make up an eighth of the log's size, and no reader needs it.
         .with_target(false)
         .with_current_span(false)
         .with_span_list(false)
@@ -22,22 +22,23 @@
         .try_init()
 }
 
-/// How many lines may wait to be written; a writer that falls behind loses lines
-/// rather than holding the program up.
+/// The maximum number of buffered lines.  When standard output is too slow, further lines are
+/// dropped rather than blocking the program.
 const BUFFERED_LINES: usize = 20_000;
 
-/// Installs a logger of JSON lines on standard output that never blocks.
+/// Installs a logger that writes JSON lines to standard output and never blocks.
 ///
-/// `filter` uses the directives of `tracing`, for example `info` or `crossweir=debug`.
+/// `filter` uses the directives of `tracing`, for example `info` or `crossweir=debug`.  If it is
+/// not valid, `info` applies.
 ///
-/// The guard writes out what waits when it is dropped.
+/// Dropping the returned guard writes out the buffered lines.
 pub fn init_stdout(filter: &str) -> tracing_appender::non_blocking::WorkerGuard {
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
         .buffered_lines_limit(BUFFERED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     if let Err(err) = install(filter, writer) {
-        eprintln!("the logger is installed already: {err}");
+        eprintln!("cannot install the logger: {err}");
     }
     guard
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,13 +1,13 @@
-//! Counters and gauges, one registry a process.
+//! Prometheus metrics of the process.
 //!
-//! Every refusal and every retry carries its reason as a label; the reasons
-//! are explained, with remedies, in `docs/METRICS.md`.
+//! Every refusal and every retry has its reason as a label; `docs/METRICS.md` explains the reasons
+//! and their remedies.
 
 use prometheus::{Encoder, HistogramVec, IntCounterVec, IntGaugeVec, Registry, TextEncoder};
 
 use crate::error::Result;
 
-/// The upper bounds of the waiting-time buckets, in seconds.
+/// The upper bounds of the buckets for waiting times, in seconds.
 const WAIT_BUCKETS: [f64; 10] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.3, 10.0, 60.0];
 
 /// All collectors of one process.
@@ -24,7 +24,7 @@
 }
 
 impl Metrics {
-    /// Registers all collectors.
+    /// Creates a registry and registers all collectors.
     ///
     /// # Errors
     /// Fails only if two collectors share a name, which is a programming error.
@@ -99,9 +99,12 @@
         self.outcomes.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts and logs an operation that was refused to keep an invariant.
+    /// Counts and logs an operation that was refused because it would break an invariant.
     pub fn violation(&self, invariant: &str) {
-        tracing::error!(invariant, "operation refused to keep an invariant");
+        tracing::error!(
+            invariant,
+            "operation refused because it would break an invariant"
+        );
         self.invariants.with_label_values(&[invariant]).inc();
     }
 
@@ -122,7 +125,7 @@
             .observe(millis as f64 / 1000.0);
     }
 
-    /// Renders the registry in the text format of Prometheus.
+    /// Renders all metrics in the text format of Prometheus.
     ///
     /// # Errors
     /// Fails if a collector cannot be encoded.
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: which queues there are and who runs their tasks.
+//! The operator's configuration: the queues, the services that run their tasks, and the workspaces.
 
 use std::collections::HashMap;
 
@@ -7,19 +7,20 @@
 use crate::clock::Millis;
 use crate::workspace::{Caller, KeyError, Workspace, Workspaces, bearer_key};
 
-/// What the placement policy of a queue costs to ask.
+/// How long the advice service takes to answer questions about a queue, and how long its tickets
+/// are valid.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AdviceTiming {
-    /// The fixed part of an answer's time.
+    /// The fixed part of the time to answer, in milliseconds.
     pub base_ms: f64,
-    /// The part for each worker that is named.
+    /// The additional time for each worker that the question names, in milliseconds.
     pub per_worker_ms: f64,
-    /// How long a ticket is good for.
+    /// How long a ticket is valid, in milliseconds.
     pub valid: Millis,
 }
 
 impl AdviceTiming {
-    /// Estimates how long an answer about `workers` workers takes.
+    /// Estimates how long the answer to a question about `workers` workers takes.
     pub fn duration(&self, workers: usize) -> Millis {
         (self.base_ms + self.per_worker_ms * workers as f64).ceil() as Millis
     }
@@ -30,30 +31,31 @@
 pub struct Queue {
     /// The queue's name.
     pub name: String,
-    /// The host name that callers use.
+    /// The host name of the queue's URLs.
     pub host: String,
-    /// The beginning of the paths that belong to it.
+    /// The prefix of the queue's paths at that host.
     pub prefix: String,
-    /// The service whose workers run its tasks.
+    /// The service whose workers run the tasks.
     pub service: String,
     /// Zero goes first and may displace others.
     pub priority: u32,
-    /// How many runs of one task may fail.
+    /// The number of failed runs of one task at which the job fails; zero counts as one.  Failures
+    /// of lasting tasks do not count.
     pub attempts: u32,
-    /// The time that a job may take, as a multiple of its longest chain of work.
+    /// The time that a job may take, as a multiple of its critical path.
     pub stretch: f64,
-    /// What may be added to that.
+    /// Additional time that each job may take, in milliseconds.
     pub slack: Millis,
-    /// Set if only some workers may run a step, and who knows which must be asked.
+    /// Set if the advice service decides which workers may run a step.
     pub advice: Option<AdviceTiming>,
-    /// Callers need no key here.
+    /// Callers need no key for this queue.
     #[serde(default)]
     pub public: bool,
 }
 
 impl Queue {
-    /// A queue of `service` at this machine, without advice, whose jobs may take twice
-    /// their work and 250 ms; for cells without an operator.
+    /// Creates a queue of `service` at `localhost`, without advice, whose jobs may take twice their
+    /// critical path plus 250 ms.  For cells without an operator.
     pub fn local(name: &str, service: &str, priority: u32) -> Self {
         Self {
             name: name.to_owned(),
@@ -70,33 +72,35 @@
     }
 }
 
-/// What an operator writes of a configuration.
+/// The encoded form of a [`Configuration`], without its lookup tables.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Draft {
-    /// Versions rise in uneven steps.
+    /// The version, which rises with each change, not necessarily by one.
     pub version: u64,
     /// All queues.
     pub queues: Vec<Queue>,
     /// The largest body of a request, in bytes.
     pub max_body: usize,
-    /// Whose jobs there are; without this, callers need no keys.
+    /// The workspaces and their keys; none if callers need no keys.
     #[serde(default)]
     pub workspaces: Option<Workspaces>,
 }
 
-/// A version of the configuration, whole, with its queues by host and by name: there may be
-/// thousands, and each request looks one up.
+/// One version of the complete configuration, with its queues indexed by host and by name: there
+/// may be thousands, and each request looks one up.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Draft", into = "Draft")]
 pub struct Configuration {
-    /// Versions rise in uneven steps.
+    /// The version, which rises with each change, not necessarily by one.
     pub version: u64,
     /// The largest body of a request, in bytes.
     pub max_body: usize,
     queues: Vec<Queue>,
     workspaces: Option<Workspaces>,
-    /// The places of the queues of each host, in lower case, those with the longest prefixes first.
+    /// The indices into `queues` of each host's queues, longest prefix first, by host name in lower
+    /// case.
     hosts: HashMap<String, Vec<usize>>,
+    /// The index into `queues` of each queue, by name.
     names: HashMap<String, usize>,
 }
 
@@ -104,13 +108,13 @@
     fn from(draft: Draft) -> Self {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
         let mut names = HashMap::new();
-        for (place, queue) in draft.queues.iter().enumerate() {
+        for (index, queue) in draft.queues.iter().enumerate() {
             let host = queue.host.to_ascii_lowercase();
-            hosts.entry(host).or_default().push(place);
-            names.entry(queue.name.clone()).or_insert(place);
+            hosts.entry(host).or_default().push(index);
+            names.entry(queue.name.clone()).or_insert(index);
         }
-        for places in hosts.values_mut() {
-            places.sort_by_key(|&place| std::cmp::Reverse(draft.queues[place].prefix.len()));
+        for indices in hosts.values_mut() {
+            indices.sort_by_key(|&index| std::cmp::Reverse(draft.queues[index].prefix.len()));
         }
         Self {
             version: draft.version,
@@ -135,15 +139,16 @@
 }
 
 impl Configuration {
-    /// Finds the queue with the longest prefix of `path` at `host`, and the rest of the path.
+    /// Finds the queue at `host` with the longest prefix of `path`, and returns it with the rest of
+    /// the path.  A port in `host` is ignored.
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         let host = host.split(':').next().unwrap_or(host);
-        let places = self.hosts.get(&host.to_ascii_lowercase())?;
-        let mut queues = places.iter().map(|&place| &self.queues[place]);
+        let indices = self.hosts.get(&host.to_ascii_lowercase())?;
+        let mut queues = indices.iter().map(|&index| &self.queues[index]);
         queues.find_map(|queue| Some((queue, path.strip_prefix(queue.prefix.as_str())?)))
     }
 
-    /// All queues.
+    /// Returns all queues.
     pub fn queues(&self) -> &[Queue] {
         &self.queues
     }
@@ -153,7 +158,7 @@
         Some(&self.queues[*self.names.get(name)?])
     }
 
-    /// All workspaces.
+    /// Returns all workspaces.
     pub fn workspaces(&self) -> impl Iterator<Item = &Workspace> {
         self.workspaces.iter().flat_map(Workspaces::iter)
     }
@@ -163,10 +168,11 @@
         self.workspaces.as_ref()?.get(name)
     }
 
-    /// Tells who calls with such an `Authorization` header, none being allowed on a public queue.
+    /// Identifies the caller by the `Authorization` header of its request.  On a public queue, or
+    /// without workspaces, a caller without a known key is anonymous.
     ///
     /// # Errors
-    /// Fails if the caller needs a key and has none that is known.
+    /// Fails if a key is required, and it is missing or unknown.
     pub fn identify_caller(
         &self,
         is_public: bool,
--- a/src/timeout.rs
+++ b/src/timeout.rs
@@ -1,20 +1,21 @@
-//! Waiting with a limit that does not count the time in which this process stood still.
+//! A timeout that does not count the time in which this process was stalled.
 //!
-//! The runtime takes in a bounded number of ready sockets at a time, but all timers that are due.
-//! So a process that comes late finds calls overdue whose answers lie unread in its sockets: of
-//! 1,500 it lost 476 (`tests/http_client.rs`).  What a worker has listed counts as told, so an
-//! owner must not lose it.
+//! The runtime processes at most 1,024 ready sockets at a time, but all expired timers.  After a
+//! stall, calls would therefore time out although their answers are waiting unread in the sockets:
+//! 476 of 1,500 calls were lost that way (`tests/http_client.rs`).  The owner must not lose such an
+//! answer: the platform counts what a worker has listed as known to the owner, which would
+//! nevertheless treat the worker as silent and start its tasks elsewhere.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// However late we come, a call gets no more time than this again: the lease of 3.5 s must not run
-/// out over it.
+/// The maximum extension of a timeout, however long the stall: waiting for an answer must not let a
+/// worker's lease of 3.5 s run out.
 const MAX_GRACE: Duration = Duration::from_millis(500);
 
-/// Waits until `until` for `answer`; if we come late ourselves, for as long again as we are late.
-/// None if none came.
+/// Waits for `answer` until `deadline`.  If this process was stalled and notices the deadline late,
+/// waits once more for as long as it was late, but at most `MAX_GRACE`.  Returns none on timeout.
 pub async fn wait_until<T>(deadline: Instant, answer: impl Future<Output = T>) -> Option<T> {
     tokio::pin!(answer);
     if let Ok(answer) = tokio::time::timeout_at(deadline, &mut answer).await {
