--- a/src/node/cleaning.rs
+++ b/src/node/cleaning.rs
@@ -88,7 +88,7 @@
             Ok(()) => {
                 self.ended.drain(..expired.len());
                 // A job of which something may still run is kept for another period.
-                let busy = expired.into_iter().filter(|&id| !engine.forget(id));
+                let busy = expired.into_iter().filter(|&id| !engine.forget_job(id));
                 self.ended.extend(busy.map(|id| (now, id)));
             }
             Err(err) => tracing::debug!(%err, "cannot delete ends of jobs yet"),
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -135,6 +135,7 @@
         Ok(engine)
     }
 
+    /// Spawns a task that is aborted when this ownership ends.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let mut tasks = self.tasks();
         while tasks.try_join_next().is_some() {}
@@ -281,7 +282,7 @@
 
     /// Removes a job that ended long ago from memory.  Returns false if one of its tasks may still
     /// run.
-    pub fn forget(&self, id: JobId) -> bool {
+    pub fn forget_job(&self, id: JobId) -> bool {
         self.cell().forget_job(id)
     }
 
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -19,7 +19,7 @@
     /// Orders a worker to stop a run.  `Ok` confirms that the run ends soon or never begins.
     ///
     /// # Errors
-    /// Returns the worker's refusal, or none if no answer came.
+    /// Returns the worker's refusal; none if there was no answer or it gives no known reason.
     fn stop<'a>(&'a self, order: &'a StopOrder) -> BoxFuture<'a, Result<(), Option<Refusal>>>;
 
     /// Polls a worker for its runs and ends, and renews the lease of its runs.
--- a/src/node/pace.rs
+++ b/src/node/pace.rs
@@ -31,7 +31,7 @@
     /// The number of rounds.
     pub count: u32,
     /// The time spent in them, in milliseconds.
-    pub deciding: Millis,
+    pub total_time: Millis,
     /// The longest of them, in milliseconds.
     pub longest: Millis,
     /// The number of orders given in them.
@@ -42,7 +42,7 @@
     /// Adds a round that took `took` milliseconds and gave this many orders.
     pub fn note(&mut self, took: Millis, orders: usize) {
         self.count += 1;
-        self.deciding += took;
+        self.total_time += took;
         self.longest = self.longest.max(took);
         self.orders += orders;
     }
--- a/src/node/process.rs
+++ b/src/node/process.rs
@@ -68,7 +68,8 @@
         })
     }
 
-    /// Serves other nodes at `peers`, follows the configuration and takes part in ownership.
+    /// Starts the node's tasks: serves other nodes at `peers`, follows the configuration, and takes
+    /// part in the election of the owner.
     pub fn start(self, peers: TcpListener) -> Arc<Frontend> {
         let shared = &self.front.shared;
         tokio::task::spawn_local(self.driver.run());
--- a/src/node/summary.rs
+++ b/src/node/summary.rs
@@ -61,7 +61,7 @@
             workers_age = self.workers_age,
             late_ms = self.delay,
             rounds = self.rounds.count,
-            deciding_ms = self.rounds.deciding,
+            deciding_ms = self.rounds.total_time,
             longest_round_ms = self.rounds.longest,
             orders = self.rounds.orders,
             all_starts = self.counts.starts,
