--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -1,14 +1,14 @@
-//! Why a caller or an operator was refused: one table for every interface.
+//! The refusals that callers and operators get: one table for all interfaces.
 
 use crate::cell::spec::SpecError;
 use crate::workspace::KeyError;
 
-/// A reason for which something was not done, or not known to be done.
+/// Why a request was not carried out, or why it is not known whether it was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
     /// The job breaks a rule.
     Spec(SpecError),
-    /// The body holds a key that does not exist.
+    /// The body has an unknown key.
     UnknownKey,
     /// The body is larger than the configuration allows.
     BodySize,
@@ -16,60 +16,60 @@
     NoSuchPath,
     /// No queue has this name or path.
     NoQueue,
-    /// The job is not known, or it is another workspace's.
+    /// The job is not known, or belongs to another workspace.
     NoSuchJob,
-    /// The caller has brought no key, or not as `Authorization: Bearer`.
+    /// The caller sent no key, or not as `Authorization: Bearer`.
     NoKey,
     /// No workspace has the caller's key.
     WrongKey,
-    /// The job is above the cap of its workspace.
+    /// One task or gang of the job exceeds the cap of its workspace.
     BeyondCap,
     /// A job of another workspace has the id.
     IdInUse,
     /// The node has no configuration yet.
     NoConfiguration,
-    /// The store could not take the job.
+    /// The store could not be reached or refused the call, so nothing was recorded.
     StoreUnavailable,
-    /// The store did not say whether it took the job.
+    /// The store did not confirm whether it recorded the job.
     Doubtful,
-    /// Neither the owner nor the store could tell.
+    /// Neither the cell's owner nor the store gave an answer.
     OwnerUnavailable,
-    /// The counts of the owner are too old.
+    /// The owner's counts of pending jobs are too old.
     PendingUnknown,
-    /// The node takes no work now.
+    /// The node does not accept jobs at present.
     NotReady,
     /// The operator's token is missing or wrong.
     NotOperator,
-    /// Another operator's change came first.
+    /// Another operator has changed the policy meanwhile.
     VersionConflict,
-    /// The policy is at fault.
+    /// The policy program is not valid.
     BadPolicy,
     /// A change may or may not have taken effect.
     Unconfirmed,
-    /// The program itself failed.
+    /// An internal error.
     Internal,
 }
 
-/// What is said about a refusal.
+/// How a refusal is reported.
 #[derive(Debug, Clone, Copy)]
 pub struct Description {
-    /// The stable code, also the label of the counter.
+    /// The stable code, which is also the value of the metric's `reason` label.
     pub code: &'static str,
-    /// The HTTP status of the product's own interface.
+    /// The HTTP status in Crossweir's own API.
     pub status: u16,
     /// What is wrong.
     pub meaning: &'static str,
-    /// What to do about it.
+    /// What the caller or operator can do about it.
     pub remedy: &'static str,
-    /// Nothing was done and nothing will be.
+    /// The request was not carried out and will not be.
     pub not_run: bool,
-    /// Coming back may help.
+    /// The same request may succeed later.
     pub retryable: bool,
 }
 
-/// Corrected input is needed.
+/// The remedy for an invalid request.
 const FIX_REQUEST: &str = "Correct the request; docs/API.md describes it.";
-/// Time is needed.
+/// The remedy for a temporary failure.
 const RETRY_LATER: &str = "Come back at Retry-After; look at the store if it persists.";
 
 impl From<KeyError> for Refusal {
@@ -82,7 +82,7 @@
 }
 
 impl Refusal {
-    /// All refusals, for the reference.
+    /// All refusals, for the reference in `docs/METRICS.md`.
     pub const ALL: [Self; 27] = [
         Self::Spec(SpecError::BadId),
         Self::Spec(SpecError::Malformed),
@@ -113,12 +113,12 @@
         Self::Internal,
     ];
 
-    /// The stable code.
+    /// Returns the stable code.
     pub fn code(self) -> &'static str {
         self.describe().code
     }
 
-    /// Describes the refusal.
+    /// Returns how the refusal is reported.
     pub fn describe(self) -> Description {
         match self {
             Self::Spec(err) => not_run(err.code(), 400, err.meaning(), FIX_REQUEST),
@@ -246,6 +246,7 @@
     }
 }
 
+/// Describes a request that was not carried out and is refused again unless something changes.
 fn not_run(
     code: &'static str,
     status: u16,
@@ -262,6 +263,7 @@
     }
 }
 
+/// Describes a request that was not carried out and may succeed later.
 fn unavailable(code: &'static str, meaning: &'static str, remedy: &'static str) -> Description {
     Description {
         retryable: true,
@@ -269,6 +271,7 @@
     }
 }
 
+/// Describes a request of which the outcome is not known; it may be repeated.
 fn uncertain(
     code: &'static str,
     status: u16,
