--- a/src/store.rs
+++ b/src/store.rs
@@ -1,49 +1,47 @@
-//! The store as the cell sees it: rows with versions, transactions under
-//! conditions, and a feed of changes.
+//! The interface to the store: versioned rows, conditional transactions and a change feed.
 //!
-//! A call is a value, so that a node which cannot reach the store can hand it to
-//! a peer that does (see "Store" in `docs/DESIGN.md`).  The adapter that speaks to
-//! the real store implements [`Store`].
+//! A call is a value, so that a node that cannot reach the store can pass it to a peer that can
+//! (see "Store" in `docs/DESIGN.md`).  The adapter to the real store implements [`Store`].
 
 use futures::future::BoxFuture;
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
 
-/// The version of a row, or of the whole store: it rises with each transaction.
-/// Zero stands for "not there".
+/// The version of a row or of the whole store, which rises with each transaction.  Zero means that
+/// the row does not exist.
 pub type Version = u64;
 
-/// The tables that the system reads or writes.
+/// A table of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Table {
-    /// The workers' own entries; read only.
+    /// The entries that workers write about themselves; nodes only read them.
     Workers,
-    /// What the operator has written; read only.
+    /// The operator's rows, such as the configuration and evacuated halls; nodes only read them.
     Operator,
-    /// The row of ownership and the list of workers of each cell.
+    /// The ownership row, the roster of workers and the policy of each cell.
     Cells,
-    /// Accepted jobs as their callers sent them.
+    /// Accepted jobs, as their callers submitted them.
     Jobs,
-    /// How far each job has come, written by the cell's owner.
+    /// The progress of each job, written by the cell's owner.
     Progress,
-    /// The addresses of nodes.
+    /// The addresses of the nodes.
     Nodes,
 }
 
-/// Names one row.
+/// The key of one row in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RowKey {
     /// The table.
     pub table: Table,
-    /// The partition; rows of one partition change in one transaction cheaply.
+    /// The partition; a transaction on rows of a single partition is cheap.
     pub partition: String,
     /// The key within the partition.
     pub key: String,
 }
 
 impl RowKey {
-    /// Names the row `key` of `partition`.
+    /// Creates the key of row `key` in `partition`.
     pub fn new(table: Table, partition: &str, key: &str) -> Self {
         Self {
             table,
@@ -53,45 +51,45 @@
     }
 }
 
-/// One row as it was read.
+/// One row, as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The partition.
     pub partition: String,
     /// The key within its table and partition.
     pub key: String,
-    /// The value; empty if the row was dropped.
+    /// The value; empty if the row has been deleted.
     pub value: String,
     /// The version of the change that wrote it.
     pub version: Version,
-    /// The row is not there any more.
+    /// The row has been deleted.
     pub dropped: bool,
 }
 
 /// Encodes the value of a row.
 ///
 /// # Panics
-/// Never in practice: rows are plain data.  An empty row in place of one that cannot
-/// be encoded would lose what it stands for.
+/// Panics if the value cannot be encoded, which does not happen with plain data.  Writing an empty
+/// row instead would lose the data.
 pub fn encode<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value).expect("plain data can be encoded")
 }
 
-/// Changes that happen all together or not at all.
+/// Changes that are applied atomically.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Rows with the version that they must have.
+    /// The versions that rows must have, or nothing is changed.
     pub expected: Vec<(RowKey, Version)>,
-    /// Rows with their new values.
+    /// Rows to write, with their new values.
     pub puts: Vec<(RowKey, String)>,
-    /// Rows to drop.
+    /// Rows to delete.
     pub drops: Vec<RowKey>,
 }
 
 /// One call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreCall {
-    /// Carries out a transaction.
+    /// Commits a transaction.
     Commit(Transaction),
     /// Reads rows of a partition in the order of their keys.
     List {
@@ -99,26 +97,26 @@
         table: Table,
         /// The partition.
         partition: String,
-        /// The first key wanted; empty for the beginning.
+        /// The first key to read; empty for the start of the partition.
         from: String,
-        /// The key to stop before; empty for the end.
+        /// The key before which to stop; empty for the end of the partition.
         until: String,
-        /// The most rows wanted.
+        /// The maximum number of rows to return.
         limit: u32,
     },
-    /// Reads what changed in a table after a version.
+    /// Reads the changes of a table after a version.
     Changes {
         /// The table.
         table: Table,
-        /// The version known so far.
+        /// The latest version that is known.
         after: Version,
-        /// How long to wait for a change, in milliseconds.
+        /// How long the store may hold the request if there is no change yet, in milliseconds.
         wait: Millis,
     },
 }
 
 impl StoreCall {
-    /// Reads one row.
+    /// Creates a call that reads one row.
     pub fn row(table: Table, partition: &str, key: &str) -> Self {
         Self::List {
             table,
@@ -130,45 +128,45 @@
     }
 }
 
-/// What the store answered.
+/// The answer to a [`StoreCall`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// The transaction was carried out as this version.
+    /// The transaction was committed with this version.
     Committed(Version),
-    /// A row did not have the version expected; nothing was done.  The rows are
-    /// those that were named in the conditions, as they are.
+    /// A row did not have the expected version, so nothing was changed.  Holds the current rows
+    /// that the transaction's conditions name.
     Conflict(Vec<Row>),
-    /// Rows of a list.
+    /// The rows that were read.
     Rows {
-        /// The rows, keys rising.
+        /// The rows, in ascending order of their keys.
         rows: Vec<Row>,
-        /// More rows follow the last one.
+        /// There are more rows after the last one.
         more: bool,
-        /// The newest version of the store.
+        /// The latest version of the store.
         version: Version,
     },
-    /// The changes asked for lie further back than the store remembers.
+    /// The store no longer has all changes after the requested version.
     Forgotten,
 }
 
-/// Why a call to the store brought no answer.
+/// Why a call to the store has no usable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum StoreError {
-    /// Nothing was done and nothing will be.
+    /// The call was not carried out and will not be.
     #[error("the store refused the call or was not reached")]
     Unavailable,
-    /// The call may have been carried out, or may be later.
+    /// The call may have been carried out, or may still be.
     #[error("the store did not answer")]
     Unanswered,
-    /// The call itself is at fault; repeating it is of no use.
+    /// The call is not valid, so repeating it does not help.
     #[error("the store rejects the call with status {0}")]
     Rejected(u16),
-    /// The answer could not be understood.
+    /// The answer could not be parsed.
     #[error("the store's answer is malformed")]
     Malformed,
 }
 
-/// The way to the store.
+/// A client of the store.
 pub trait Store: Send + Sync {
     /// Makes one call.
     fn call(&self, call: StoreCall) -> BoxFuture<'_, Result<StoreReply, StoreError>>;
