--- a/src/workspace.rs
+++ b/src/workspace.rs
@@ -1,5 +1,5 @@
-//! Workspaces: whose jobs there are, which keys their callers have, and how much of the workers
-//! each may have running (see "Workspaces" in `docs/DESIGN.md`).
+//! Workspaces, which own jobs.  Each has keys for its callers, and a cap on the room that its
+//! running tasks may hold (see "Workspaces" in `docs/DESIGN.md`).
 
 use std::collections::HashMap;
 
@@ -10,22 +10,22 @@
 
 use crate::cell::spec::{Demand, JobSpec, Step};
 
-/// How many bytes of a digest are shown to people.
+/// How many bytes of a digest its debug output shows.
 const FINGERPRINT_BYTES: usize = 4;
 
-/// One workspace as the configuration describes it.
+/// One workspace, as described by the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
+    /// The name of the workspace.
     pub name: String,
-    /// Its share when everything is full: jobs a second.
+    /// Its share of a fully loaded cell, in jobs per second.  The scheduler does not use it.
     pub weight: f64,
-    /// What its tasks may hold across all workers; a zero stands for no limit.
+    /// The room that its tasks may hold on all workers together.  Zero means no limit.
     pub cap: Demand,
 }
 
 impl Workspace {
-    /// Tells whether its tasks may hold so much.
+    /// Returns whether the tasks of the workspace may hold `held`.
     pub fn admits(&self, held: &Demand) -> bool {
         let within = |held: u64, cap: u64| cap == 0 || held <= cap;
         within(held.millicores, self.cap.millicores)
@@ -33,26 +33,26 @@
             && within(held.gpus, self.cap.gpus)
     }
 
-    /// Tells whether every step of a job could run if the workspace held nothing else.
+    /// Returns whether every step of a job could run if the workspace held nothing else.
     pub fn could_run(&self, spec: &JobSpec) -> bool {
         let could = |step: &Step| self.admits(&step.demand.of_tasks(step.tasks_at_once()));
         spec.steps.iter().all(could)
     }
 }
 
-/// A key's SHA-256: a node and its peers hold no key in clear.
+/// The SHA-256 digest of a key, so that nodes neither hold nor exchange keys in plain text.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 }
 
-/// Shows a fingerprint, which tells keys apart and gives none away.
+/// Prints a short fingerprint, which tells keys apart without revealing them.
 impl std::fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for byte in &self.0[..FINGERPRINT_BYTES] {
@@ -81,22 +81,22 @@
     }
 }
 
-/// Why workspaces cannot be used as they are described.
+/// Why workspaces or their keys are not valid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WorkspaceError {
-    /// Two workspaces have one name.
+    /// Two workspaces have the same name.
     #[error("there are two workspaces `{0}`")]
     DuplicateName(String),
-    /// A key stands twice, so that it would not tell whose call it is.
+    /// A key occurs twice, so it would not identify the caller.
     #[error("a key of workspace `{0}` stands twice")]
     DuplicateKey(String),
     /// A key is empty.
     #[error("workspace `{0}` has an empty key")]
     EmptyKey(String),
-    /// A weight is no share.
+    /// A weight is negative or not finite.
     #[error("the weight of workspace `{0}` is not a number from zero up")]
     InvalidWeight(String),
-    /// What should be the digest of a key is none.
+    /// A string is not the encoded digest of a key.
     #[error("this is not the digest of a key")]
     InvalidDigest,
 }
@@ -105,15 +105,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Workspaces {
     list: Vec<Workspace>,
-    /// Whose each key is, by its index in the list.
+    /// The index into `list` of each key's workspace.
     keys: HashMap<KeyDigest, usize>,
 }
 
 impl Workspaces {
-    /// Adds a workspace with its keys.  One without keys is there, and nobody can call for it.
+    /// Adds a workspace with its keys.  Without keys, nobody can call on its behalf.
     ///
     /// # Errors
-    /// Fails if the workspaces could not be told apart by their keys and names; nothing is added.
+    /// Fails if the name or a key is already taken, or if a key or the weight is not valid.
+    /// Nothing is added then.
     pub fn add(&mut self, workspace: Workspace, keys: &[String]) -> Result<(), WorkspaceError> {
         let name = || workspace.name.clone();
         if self.get(&workspace.name).is_some() {
@@ -143,31 +144,32 @@
         self.list.iter().find(|workspace| workspace.name == name)
     }
 
-    /// All of them.
+    /// Returns all workspaces.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.list.iter()
     }
 
-    /// Finds the workspace of a key.
+    /// Finds the workspace to which a key belongs.
     pub fn by_key(&self, key: &[u8]) -> Option<&Workspace> {
         let index = self.keys.get(&KeyDigest::of(key))?;
         self.list.get(*index)
     }
 }
 
-/// Who calls.
+/// Who makes a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
-    /// Whoever has no key: on a public queue, or where there are no workspaces.
+    /// A caller without a known key: on a public queue, or if there are no workspaces.
     Anonymous,
-    /// The workspace of this name.
+    /// A caller with a key of the workspace of this name.
     Workspace(String),
     /// An operator, or a node on behalf of one.
     Operator,
 }
 
 impl Caller {
-    /// Tells whether it may see and cancel a job of a workspace; without one, everybody may.
+    /// Returns whether the caller may see and cancel a job of `workspace`.  Everybody may if the
+    /// job has none.
     pub fn may_see(&self, workspace: Option<&str>) -> bool {
         match self {
             Self::Operator => true,
@@ -177,16 +179,17 @@
     }
 }
 
-/// Why a caller is not let in.
+/// Why a caller is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyError {
-    /// It has brought no key, or not in the one way that there is.
+    /// It sent no key, or not as `Authorization: Bearer`.
     Missing,
-    /// No workspace has its key.
+    /// No workspace has the key that it sent.
     Unknown,
 }
 
-/// Reads the key of an `Authorization` header; the scheme's letters may be of either case.
+/// Returns the key in the value of an `Authorization` header with the scheme `Bearer`, in upper or
+/// lower case; none if there is no such key.
 pub fn bearer_key(authorization: &[u8]) -> Option<&[u8]> {
     const SCHEME: &[u8] = b"Bearer ";
     let (scheme, key) = authorization.split_at_checked(SCHEME.len())?;
