--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Policies: how jobs are ordered and how much each queue may use.
+//! Scheduling policies: the order in which jobs are considered, and how much each queue may use.
 //!
-//! An operator steers the cell with a short program.  The core sees only [`Policy`],
-//! so a cell without a program pays nothing for it.
+//! An operator can set a short program as the policy.  The scheduling core only uses the trait
+//! [`Policy`], so a cell without a program has no interpreter overhead.
 
 pub mod program;
 
@@ -15,36 +15,38 @@
 /// What a policy decides about one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Decision {
-    /// Jobs of a lower number are considered first.
+    /// Jobs with a lower number are considered first.
     pub priority: u32,
-    /// In which order jobs of one priority are considered.
+    /// The order in which jobs of the same priority are considered.
     pub turn: Turn,
-    /// Waiting tasks keep room that comes free from less urgent ones.
+    /// While tasks of the job wait, room that becomes free is reserved for them against jobs with a
+    /// higher number.
     pub reserves: bool,
-    /// Tasks go to the emptiest workers instead of the fullest.
+    /// Tasks are placed on the emptiest workers instead of the fullest.
     pub spread: bool,
-    /// The most processors that the running tasks of the job's queue may hold, in
-    /// millicores, fillers left out.  The job waits beyond that; none for no bound.
+    /// The processors that the running tasks of the job's queue may hold, in millicores, not
+    /// counting fillers; a task waits while it would exceed that.  None means no limit.
     pub quota: Option<u64>,
 }
 
-/// In which order jobs of one priority are considered.
+/// The order in which jobs of the same priority are considered.  Policy programs name it `turn`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Turn {
-    /// As they came.
+    /// The oldest job first.
     Arrival,
-    /// Those with the least work left first.
+    /// The job with the least remaining work first.
     LeastWork,
-    /// Those first that must start the soonest to be done in time.
+    /// The job first that must start the soonest to end within the time that its queue grants.
     LeastLaxity,
-    /// Those that must start the soonest, but for large ones, which give way to small ones for a while.
+    /// As `LeastLaxity`, but large jobs are moved back behind small ones, by at most
+    /// `tuning::MAX_WORK_PENALTY`.
     #[default]
     Balanced,
 }
 
 impl Turn {
-    /// All of them.
+    /// All values.
     pub const ALL: [Self; 4] = [
         Self::Arrival,
         Self::LeastWork,
@@ -52,7 +54,7 @@
         Self::Balanced,
     ];
 
-    /// What operators call it.
+    /// Returns the name that operators use.
     pub fn name(self) -> &'static str {
         match self {
             Self::Arrival => "arrival",
@@ -62,19 +64,20 @@
         }
     }
 
-    /// Finds one by its name.
+    /// Returns the value with the given name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|turn| turn.name() == name)
     }
 }
 
-/// Decides once for each job, whenever the job or the policy is new.
+/// A scheduling policy.  It is asked once for each job, and again when the configuration or the
+/// policy has changed.
 pub trait Policy: Send + Sync {
-    /// Decides about a job of `queue`.
+    /// Decides how a job of `queue` is scheduled.
     fn decide(&self, queue: &Queue, spec: &JobSpec) -> Decision;
 }
 
-/// What holds while no operator has set a program: the queue's own priority.
+/// The policy without a program: jobs have the priority of their queue.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BuiltIn;
 
@@ -90,13 +93,17 @@
     }
 }
 
-/// A program that an operator has set.  Where it fails, the built-in policy decides.
+/// An operator's program as a policy.  If it fails for a job, the built-in policy decides.
 pub struct ProgramPolicy(pub Program);
 
 impl Policy for ProgramPolicy {
     fn decide(&self, queue: &Queue, spec: &JobSpec) -> Decision {
         self.0.decide(queue, spec).unwrap_or_else(|err| {
-            tracing::warn!(%err, queue = queue.name, "the policy failed; the built-in one decides");
+            tracing::warn!(
+                %err,
+                queue = queue.name,
+                "policy program failed; using the built-in policy"
+            );
             BuiltIn.decide(queue, spec)
         })
     }
--- a/src/policy/program.rs
+++ b/src/policy/program.rs
@@ -1,4 +1,4 @@
-//! A policy program: it says how a job is ordered, once a job and never a worker.
+//! Policy programs in Rhai.  A program runs once for each job, never for a worker.
 //!
 //! `docs/POLICIES.md` explains how to write one.
 
@@ -8,51 +8,51 @@
 use crate::policy::{Decision, Turn};
 use crate::queue::Queue;
 
-/// How many operations one call of a policy may take.
+/// The maximum number of operations in one run of a policy program.
 const MAX_OPERATIONS: u64 = 20_000;
-/// The longest string or array that a policy may build.
+/// The maximum size of a string, array or map in a policy program.
 const MAX_SIZE: usize = 4_096;
-/// The largest priority; the configuration knows a handful.
+/// The largest priority that a program may return; configurations use only a few.
 const MAX_PRIORITY: i64 = 1_000;
-/// The largest quota, in millicores: far above any cell.
+/// The largest quota that a program may return, in millicores: far more than any cell has.
 const MAX_QUOTA: i64 = 1_000_000_000;
 
-/// Why a policy was refused or failed.
+/// Why a policy program was rejected or failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProgramError {
-    /// It does not parse.
+    /// The program cannot be parsed.
     #[error("the policy does not parse: {detail}")]
     Syntax {
-        /// What the parser said, with line and column.
+        /// The parser's message, with line and column.
         detail: String,
     },
-    /// It failed while it ran, or ran out of operations.
+    /// The program failed while running, or exceeded a limit.
     #[error("the policy failed: {detail}")]
     Run {
-        /// What the interpreter said, with line and column.
+        /// The interpreter's message, with line and column.
         detail: String,
     },
-    /// It returned something else than was asked for.
+    /// The program's result is not valid.
     #[error("the policy must return a map in which `{field}` is {expected}")]
     Result {
-        /// The field at fault.
+        /// The invalid field.
         field: &'static str,
         /// What it must be.
         expected: &'static str,
     },
 }
 
-/// A policy that has been parsed.
+/// A parsed policy program.
 pub struct Program {
     engine: Engine,
     ast: AST,
 }
 
 impl Program {
-    /// Parses a policy and runs it on samples of every kind of job.
+    /// Parses a program and runs it on sample jobs of every kind.
     ///
     /// # Errors
-    /// See [`ProgramError`]; a policy that fails on a sample is not accepted.
+    /// See [`ProgramError`]; a program that fails for a sample is rejected.
     pub fn parse_and_test(source: &str) -> Result<Self, ProgramError> {
         let program = Self::parse(source)?;
         for (queue, spec) in samples() {
@@ -61,10 +61,10 @@
         Ok(program)
     }
 
-    /// Parses a policy.
+    /// Parses a program.
     ///
     /// # Errors
-    /// Returns [`ProgramError::Syntax`].
+    /// Returns [`ProgramError::Syntax`] if the program cannot be parsed.
     pub fn parse(source: &str) -> Result<Self, ProgramError> {
         let mut engine = Engine::new();
         engine.set_max_operations(MAX_OPERATIONS);
@@ -81,10 +81,11 @@
         Ok(Self { engine, ast })
     }
 
-    /// Runs the policy for one job.
+    /// Runs the program for one job.
     ///
     /// # Errors
-    /// Returns [`ProgramError::Run`] or [`ProgramError::Result`].
+    /// Returns [`ProgramError::Run`] if the program fails, and [`ProgramError::Result`] if its
+    /// result is not valid.
     pub fn decide(&self, queue: &Queue, spec: &JobSpec) -> Result<Decision, ProgramError> {
         let mut scope = scope(queue, spec);
         let result: Dynamic = self
@@ -129,7 +130,7 @@
     }
 }
 
-/// The largest demand of any task, in each dimension.
+/// Returns the largest demand of any task, for each resource separately.
 fn largest(steps: &[Step]) -> Demand {
     let mut largest = Demand::default();
     for step in steps {
@@ -205,7 +206,7 @@
         .ok_or(ProgramError::Result { field, expected })
 }
 
-/// Jobs of every kind, short and long, in queues of two priorities.
+/// Returns sample jobs of every kind: short ones in an urgent queue, long ones in another.
 fn samples() -> Vec<(Queue, JobSpec)> {
     let queue = |priority| Queue::local("sample", "sample", priority);
     let spec = |change: fn(&mut Step), estimate| {
