--- a/src/queue.rs
+++ b/src/queue.rs
@@ -37,7 +37,8 @@
     pub prefix: String,
     /// The service whose workers run the tasks.
     pub service: String,
-    /// Zero goes first and may displace others.
+    /// The priority of the queue's jobs, unless a policy program sets another one.  Lower numbers
+    /// go first.
     pub priority: u32,
     /// The number of failed runs of one task at which the job fails; zero counts as one.  Failures
     /// of lasting tasks do not count.
