--- a/src/http/api.rs
+++ b/src/http/api.rs
@@ -1,6 +1,6 @@
-//! The calls of callers and operators, and what each answers.
+//! The HTTP interface of a node for callers and operators.
 //!
-//! `docs/API.md` describes them for those who call.
+//! `docs/API.md` describes it for its users.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::cell::spec::{JobId, JobSpec, SpecError};
 use crate::cell::view::JobView;
 use crate::http::operator::OperatorToken;
-use crate::http::{body, keys, response, server};
+use crate::http::{body, response, server, unknown_keys};
 use crate::node::front::{Frontend, JobAnswer, RETRY_AFTER};
 use crate::node::intake::SubmitOutcome;
 use crate::node::policy::{self, Change, PolicyRow};
@@ -28,62 +28,63 @@
 use crate::store::Version;
 use crate::workspace::Caller;
 
-/// The largest body before a configuration says otherwise, in bytes.
+/// The largest request body while there is no configuration, in bytes.
 const DEFAULT_MAX_BODY: usize = 262_144;
 
-/// A job as a caller hands it in.
+/// The body of a request that submits a job.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Submission {
-    /// The identity that the caller has chosen, 16 hexadecimal digits; handing the same
-    /// one in again is harmless.
+    /// The id chosen by the caller, 16 hexadecimal digits.  Submitting a job again under the same
+    /// id has no further effect.
     pub id: String,
     /// The queue's name.
     pub queue: String,
-    /// What is to run.
+    /// What the job runs.
     #[serde(default)]
     pub job: JobSpec,
 }
 
-/// A job that was accepted or cancelled.
+/// The response to a request that submits or cancels a job.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The id under which it is known.
+    /// The id of the job.
     pub id: String,
 }
 
-/// The policy in force.
+/// The response with the policy in force.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PolicyView {
-    /// Its version; zero for the built-in one.
+    /// The version; zero for the built-in policy.
     pub version: Version,
-    /// The program.
+    /// The source of the policy program.
     pub source: String,
     /// The note of the operator who set it.
     pub note: String,
 }
 
-/// A change of the policy, as an operator sends it.
+/// The body of an operator's request that sets the policy.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct PolicyChange {
-    /// The version that the operator has read; zero before any was set.
+    /// The version that the operator has read and that the change replaces; zero if none was set.
     pub expected: Version,
-    /// The program.
+    /// The source of the policy program.
     pub source: String,
     /// A note for other operators.
     #[serde(default)]
     pub note: String,
 }
 
-/// The version that a change brought into force.
+/// The response to a request that has set the policy.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PolicyVersion {
-    /// The version.
+    /// The version of the new policy.
     pub version: Version,
 }
 
-/// A refusal with what is to be said about this case of it.
+/// A refused request.
 struct Rejection {
     refusal: Refusal,
+    /// The message for the caller, instead of the general one of the refusal.
     detail: Option<String>,
 }
 
@@ -102,10 +103,10 @@
     }
 }
 
-/// Answers the calls of callers and operators.
+/// Serves the requests of callers and operators.
 #[derive(Clone)]
 pub struct Api {
-    front: Arc<Frontend>,
+    frontend: Arc<Frontend>,
     token: Arc<OperatorToken>,
 }
 
@@ -114,16 +115,16 @@
     type Error = Infallible;
 
     async fn call(&self, _cx: &mut ServerContext, req: Request) -> Result<Response, Infallible> {
-        let _busy = self.front.track_request();
+        let _guard = self.frontend.track_request();
         Ok(self.answer(req).await)
     }
 }
 
 impl Api {
-    /// Makes the interface of a node.
-    pub fn new(front: Arc<Frontend>, token: OperatorToken) -> Self {
+    /// Creates the interface of a node.
+    pub fn new(frontend: Arc<Frontend>, token: OperatorToken) -> Self {
         Self {
-            front,
+            frontend,
             token: Arc::new(token),
         }
     }
@@ -133,7 +134,7 @@
         answered.unwrap_or_else(|rejection| {
             let code = rejection.refusal.code();
             tracing::info!(reason = code, detail = rejection.detail, "call refused");
-            self.front.shared.metrics.refusal(code);
+            self.frontend.shared.metrics.refusal(code);
             response::refusal(rejection.refusal, rejection.detail, RETRY_AFTER)
         })
     }
@@ -148,7 +149,7 @@
             (&Method::GET, ["v1", "jobs", id]) => self.explain(&parts.headers, id.parse()?).await,
             (&Method::DELETE, ["v1", "jobs", id]) => self.cancel(&parts.headers, id.parse()?).await,
             (&Method::GET, ["v1", "status"]) => {
-                Ok(response::json(StatusCode::OK, &self.front.status()))
+                Ok(response::json(StatusCode::OK, &self.frontend.status()))
             }
             (method, ["v1", "operator", "policy"]) => {
                 self.policy(method, &parts.headers, body).await
@@ -158,7 +159,7 @@
     }
 
     fn health(&self) -> Result<Response, Rejection> {
-        if self.front.is_ready() {
+        if self.frontend.is_ready() {
             Ok(response::json(
                 StatusCode::OK,
                 &serde_json::json!({"ready": true}),
@@ -169,46 +170,49 @@
     }
 
     fn metrics(&self) -> Result<Response, Rejection> {
-        match self.front.shared.render_metrics() {
+        match self.frontend.shared.render_metrics() {
             Ok(text) => Ok(response::text(StatusCode::OK, "text/plain", text)),
             Err(err) => {
-                tracing::error!(%err, "metrics cannot be rendered");
+                tracing::error!(%err, "cannot render the metrics");
                 Err(Refusal::Internal.into())
             }
         }
     }
 
-    /// Tells who calls: an operator by its token, anybody else by its key.
+    /// Identifies the caller: an operator by the token, anyone else by a workspace's key.
     fn caller(
         &self,
         config: &Configuration,
         is_public: bool,
         headers: &HeaderMap,
     ) -> Result<Caller, Rejection> {
-        if self.token.admits(headers) {
+        if self.token.is_in(headers) {
             return Ok(Caller::Operator);
         }
         server::identify_caller(config, is_public, headers).map_err(|err| Refusal::from(err).into())
     }
 
-    /// Who asks about a job, of which the queue is not known yet.
-    fn asker(&self, headers: &HeaderMap) -> Result<Caller, Rejection> {
-        let config = self.front.shared.config().unwrap_or_default();
+    /// Identifies the caller of a request about a job.  The queue of the job is not known yet, so a
+    /// key is not required here; whether the caller may see the job is checked when it is found.
+    fn job_caller(&self, headers: &HeaderMap) -> Result<Caller, Rejection> {
+        let config = self.frontend.shared.config().unwrap_or_default();
         self.caller(&config, true, headers)
     }
 
     async fn submit(&self, headers: &HeaderMap, body: Body) -> Result<Response, Rejection> {
-        let submission: Submission = self.read(body).await?;
+        let submission: Submission = self.read_json(body).await?;
         let id: JobId = submission.id.parse()?;
         submission.job.check()?;
-        let Some(config) = self.front.shared.config() else {
+        let Some(config) = self.frontend.shared.config() else {
             return Err(Refusal::NoConfiguration.into());
         };
         let Some(queue) = config.queue(&submission.queue) else {
             return Err(Refusal::NoQueue.into());
         };
         let caller = self.caller(&config, queue.public, headers)?;
-        let submitted = self.front.submit(&caller, queue, id, submission.job, None);
+        let submitted = self
+            .frontend
+            .submit(&caller, queue, id, submission.job, None);
         match submitted.await {
             SubmitOutcome::Accepted => Ok(accepted(id)),
             SubmitOutcome::Refused => Err(Refusal::StoreUnavailable.into()),
@@ -219,8 +223,8 @@
     }
 
     async fn explain(&self, headers: &HeaderMap, id: JobId) -> Result<Response, Rejection> {
-        let caller = self.asker(headers)?;
-        match self.front.explain(&caller, id).await {
+        let caller = self.job_caller(headers)?;
+        match self.frontend.explain(&caller, id).await {
             Ok(view) => Ok(response::json(StatusCode::OK, &view)),
             Err(JobAnswer::State(state)) => {
                 let view = JobView::of_state(id, state);
@@ -234,8 +238,8 @@
     }
 
     async fn cancel(&self, headers: &HeaderMap, id: JobId) -> Result<Response, Rejection> {
-        let caller = self.asker(headers)?;
-        match self.front.cancel(&caller, id, None).await {
+        let caller = self.job_caller(headers)?;
+        match self.frontend.cancel(&caller, id, None).await {
             JobAnswer::Cancelled | JobAnswer::State(_) => Ok(accepted(id)),
             JobAnswer::Unknown => Err(Refusal::NoSuchJob.into()),
             JobAnswer::Unavailable => Err(Refusal::OwnerUnavailable.into()),
@@ -248,7 +252,7 @@
         headers: &HeaderMap,
         body: Body,
     ) -> Result<Response, Rejection> {
-        if !self.token.admits(headers) {
+        if !self.token.is_in(headers) {
             return Err(Refusal::NotOperator.into());
         }
         match *method {
@@ -259,8 +263,8 @@
     }
 
     async fn show_policy(&self) -> Result<Response, Rejection> {
-        let (version, row) = policy::read(&self.front.shared).await.map_err(|err| {
-            tracing::info!(%err, "the policy cannot be read");
+        let (version, row) = policy::read(&self.frontend.shared).await.map_err(|err| {
+            tracing::info!(%err, "cannot read the policy");
             Rejection::from(Refusal::OwnerUnavailable)
         })?;
         let view = PolicyView {
@@ -272,7 +276,7 @@
     }
 
     async fn set_policy(&self, body: Body) -> Result<Response, Rejection> {
-        let change: PolicyChange = self.read(body).await?;
+        let change: PolicyChange = self.read_json(body).await?;
         Program::parse_and_test(&change.source).map_err(|err| Rejection {
             refusal: Refusal::BadPolicy,
             detail: Some(err.to_string()),
@@ -281,7 +285,7 @@
             source: change.source,
             note: change.note,
         };
-        match policy::set(&self.front.shared, &row, change.expected).await {
+        match policy::set(&self.frontend.shared, &row, change.expected).await {
             Change::Set(version) => Ok(response::json(StatusCode::OK, &PolicyVersion { version })),
             Change::Conflict => Err(Refusal::VersionConflict.into()),
             Change::Unavailable => Err(Refusal::StoreUnavailable.into()),
@@ -289,23 +293,23 @@
         }
     }
 
-    /// Reads a body whole; a key that does not exist is refused, not passed over.
-    async fn read<T: DeserializeOwned + Serialize>(&self, body: Body) -> Result<T, Rejection> {
-        let config = self.front.shared.config();
-        let most = config.map_or(DEFAULT_MAX_BODY, |config| config.max_body);
-        let bytes = body::read(body, most).await?;
+    /// Reads and decodes a JSON body; refuses one with an unknown key.
+    async fn read_json<T: DeserializeOwned + Serialize>(&self, body: Body) -> Result<T, Rejection> {
+        let config = self.frontend.shared.config();
+        let max_bytes = config.map_or(DEFAULT_MAX_BODY, |config| config.max_body);
+        let bytes = body::read(body, max_bytes).await?;
         let malformed = |err: serde_json::Error| Rejection {
             refusal: Refusal::Spec(SpecError::Malformed),
             detail: Some(err.to_string()),
         };
         let given: Value = serde_json::from_slice(&bytes).map_err(malformed)?;
-        let read: T = serde_json::from_value(given.clone()).map_err(malformed)?;
-        match keys::unknown(&given, &read) {
+        let decoded: T = serde_json::from_value(given.clone()).map_err(malformed)?;
+        match unknown_keys::find(&given, &decoded) {
             Some(key) => Err(Rejection {
                 refusal: Refusal::UnknownKey,
                 detail: Some(format!("there is no key `{key}`")),
             }),
-            None => Ok(read),
+            None => Ok(decoded),
         }
     }
 }
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,19 +1,19 @@
-//! Reading the bodies of requests, which may be as large as a caller likes.
+//! Reads the bodies of requests up to a limit, since a caller may send a body of any size.
 
 use http_body_util::{BodyExt, Limited};
 use volo_http::body::Body;
 
 use crate::refusal::Refusal;
 
-/// Reads a body whole, at most `most` bytes of it.
+/// Reads a complete body of at most `max_bytes` bytes.
 ///
 /// # Errors
-/// Refuses a larger body, and one that does not arrive whole.
-pub async fn read(body: Body, most: usize) -> Result<Vec<u8>, Refusal> {
-    match Limited::new(body, most).collect().await {
+/// Fails with [`Refusal::BodySize`] if the body is larger or cannot be read to its end.
+pub async fn read(body: Body, max_bytes: usize) -> Result<Vec<u8>, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes().to_vec()),
         Err(err) => {
-            tracing::debug!(%err, "a body was not read");
+            tracing::debug!(%err, "cannot read the body of a request");
             Err(Refusal::BodySize)
         }
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,8 +1,8 @@
-//! An HTTP client that tells what a failed call may have done.
+//! An HTTP client whose errors say whether the request may have been sent.
 //!
-//! It keeps connections.  When a call brought no answer, all idle ones to that host may
-//! have gone silent with it, so none of them is used again: one call is lost, not one for
-//! each connection ([the design](../../docs/DESIGN.md), "Connections that go silent").
+//! It reuses connections.  When a call gets no response, the idle connections to that host may have
+//! gone silent as well, so all of them are closed: one call is lost instead of one for each
+//! connection ([the design](../../docs/DESIGN.md), "Connections that go silent").
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -22,80 +22,79 @@
 
 use crate::{keep_alive, timeout};
 
-/// How long a connection may take to come about.
+/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The most connections to one host, unless the client is told otherwise: more calls than a node
-/// has for the store at once.
-const USUAL_PER_HOST: usize = 64;
-/// The most connections to all hosts, unless the client is told otherwise: a quarter of the
-/// descriptors of a VM.
-const USUAL_TOTAL: usize = 1_024;
-/// How long a connection is kept without a call.
+/// The default limit of connections to one host: more than the calls that a node makes to the store
+/// at the same time.
+const DEFAULT_PER_HOST: usize = 64;
+/// The default limit of connections to all hosts: a quarter of the file descriptors of a VM.
+const DEFAULT_TOTAL: usize = 1_024;
+/// How long an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
+/// The largest response body that is read, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a call brought no whole answer.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// Nothing was sent.
+    /// The request could not be built, or no connection to the host was available in time; nothing
+    /// was sent.
     #[error("could not connect, nothing was sent")]
     NotSent,
-    /// Too many calls were on their way, to that host or to all; nothing was sent.
-    #[error("too many calls are on their way, nothing was sent")]
+    /// As many calls to the host as [`Limits::per_host`] allows were in progress until the
+    /// time-out; nothing was sent.
+    #[error("too many calls to the host are in progress, nothing was sent")]
     Busy,
-    /// Something may have been sent, and no whole answer came.
-    #[error("no whole answer came")]
+    /// The request may have been sent, and no complete response was received.
+    #[error("no complete response was received")]
     Unanswered,
-    /// The answer is not what the protocol promises.
-    #[error("the answer is malformed")]
+    /// The response is not of the expected form.
+    #[error("the response is malformed")]
     Malformed,
 }
 
-/// A whole answer.
+/// A response that was received completely.
 #[derive(Debug)]
 pub struct FullResponse {
-    /// The status.
     pub status: StatusCode,
-    /// The headers.
     pub headers: HeaderMap,
-    /// The body, whole.
     pub body: Vec<u8>,
 }
 
 impl FullResponse {
-    /// Reads the body as JSON.
+    /// Decodes the body as JSON.
     ///
     /// # Errors
-    /// Returns [`CallError::Malformed`] if it is not the JSON expected.
+    /// Fails with [`CallError::Malformed`] if it is not JSON of the expected type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|_| CallError::Malformed)
     }
 }
 
-/// How many connections a client has at the most; calls beyond that wait for their turn within
-/// their own time, and those that do not get it were not sent.
+/// How many connections a client may have at the same time.  A call beyond that waits until its
+/// time-out for a connection; if it gets none, nothing is sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// To one host.
+    /// The limit for one host.
     pub per_host: usize,
-    /// To all hosts together; idle ones are closed to make room.
+    /// The limit for all hosts together; idle connections are closed to make room for new ones.
     pub total: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            per_host: USUAL_PER_HOST,
-            total: USUAL_TOTAL,
+            per_host: DEFAULT_PER_HOST,
+            total: DEFAULT_TOTAL,
         }
     }
 }
 
-/// A client that keeps connections and bounds every call.
+/// A client that reuses connections and makes each call with a time-out.  Clones share the
+/// connections.
 #[derive(Clone)]
 pub struct HttpClient {
-    idle: Arc<IdleConnections>,
+    pool: Arc<ConnectionPool>,
 }
 
 impl Default for HttpClient {
@@ -105,24 +104,24 @@
 }
 
 impl HttpClient {
-    /// Makes a client without connections.
+    /// Creates a client with the default limits.
     pub fn new() -> Self {
         Self::with_limits(Limits::default())
     }
 
-    /// Makes a client that has at most so many connections.
+    /// Creates a client with these limits.
     pub fn with_limits(limits: Limits) -> Self {
         Self {
-            idle: Arc::new(IdleConnections::new(limits)),
+            pool: Arc::new(ConnectionPool::new(limits)),
         }
     }
 
-    /// How many connections there are.
+    /// The number of open connections, including those that are being opened.
     pub fn connection_count(&self) -> usize {
-        self.idle.limits.total - self.idle.room.available_permits()
+        self.pool.limits.total - self.pool.permits.available_permits()
     }
 
-    /// Sends `body` with `headers` and reads the whole answer within `timeout`.
+    /// Sends `body` with `headers` and reads the complete response within `timeout`.
     ///
     /// # Errors
     /// See [`CallError`]; [`CallError::NotSent`] and [`CallError::Busy`] prove that nothing was
@@ -136,16 +135,16 @@
         timeout: Duration,
     ) -> Result<FullResponse, CallError> {
         let (host, req) = request(method, url, headers, body)?;
-        let until = Instant::now() + timeout;
-        let turn = tokio::time::timeout_at(until, self.idle.turn(&host)).await;
-        let _turn = turn.map_err(|_| CallError::Busy)?;
-        let connecting = tokio::time::timeout_at(until, self.connection(&host)).await;
+        let deadline = Instant::now() + timeout;
+        let slot = tokio::time::timeout_at(deadline, self.pool.acquire_slot(&host)).await;
+        let _slot = slot.map_err(|_| CallError::Busy)?;
+        let connecting = tokio::time::timeout_at(deadline, self.connection(&host)).await;
         let connection = connecting.map_err(|_| CallError::NotSent)??;
-        let answer = timeout::wait_until(until, self.exchange(&host, connection, req)).await;
+        let answer = timeout::wait_until(deadline, self.exchange(&host, connection, req)).await;
         answer.unwrap_or(Err(CallError::Unanswered))
     }
 
-    /// Sends a value as JSON.
+    /// Posts a value as JSON.
     ///
     /// # Errors
     /// As [`HttpClient::call`].
@@ -167,68 +166,68 @@
         &self,
         host: &str,
         mut connection: Connection,
-        req: Outgoing,
+        req: OutgoingRequest,
     ) -> Result<FullResponse, CallError> {
-        let mut doubt = Doubt::new(&self.idle, host);
+        let mut in_flight = InFlight::new(&self.pool, host);
         let sent = connection.sender.try_send_request(req).await;
         let response = sent.map_err(|mut err| match err.take_message() {
             Some(_) => CallError::NotSent,
             None => CallError::Unanswered,
         })?;
         let answer = read(response).await?;
-        doubt.settled = true;
-        self.idle.put(host, connection);
+        in_flight.answered = true;
+        self.pool.put(host, connection);
         Ok(answer)
     }
 
-    /// A connection that takes a request now: a kept one, or else a new one.
+    /// Returns an idle connection that is still usable, or else a new one.
     async fn connection(&self, host: &str) -> Result<Connection, CallError> {
-        while let Some(mut connection) = self.idle.take(host) {
+        while let Some(mut connection) = self.pool.take(host) {
             if connection.sender.ready().await.is_ok() {
                 return Ok(connection);
             }
         }
-        let room = self.idle.room().await;
+        let permit = self.pool.acquire_permit().await;
         let sender = connect(host).await?;
         Ok(Connection {
             sender,
-            _room: room,
+            _permit: permit,
         })
     }
 }
 
-type Outgoing = Request<Full<Bytes>>;
+type OutgoingRequest = Request<Full<Bytes>>;
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// A connection, which counts among all that there are for as long as it is held.
+/// A connection with the permit that counts it against [`Limits::total`].
 struct Connection {
     sender: Sender,
-    _room: Option<OwnedSemaphorePermit>,
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
-/// Makes a request as it goes over a connection, and tells the host that it is for.
+/// Builds a request, and returns it with the host and port to connect to.
 fn request(
     method: Method,
     url: &str,
     headers: &[(&'static str, String)],
     body: Vec<u8>,
-) -> Result<(String, Outgoing), CallError> {
-    let unsendable = |err: &dyn std::error::Error| {
-        tracing::error!(%err, url, "a request cannot be made");
+) -> Result<(String, OutgoingRequest), CallError> {
+    let not_sent = |err: &dyn std::error::Error| {
+        tracing::error!(%err, url, "cannot build a request");
         CallError::NotSent
     };
-    let url_parts: Uri = url.parse().map_err(|err| unsendable(&err))?;
-    let host = url_parts.authority().map_or("", |host| host.as_str());
-    let path = url_parts.path_and_query().map_or("/", |path| path.as_str());
+    let uri: Uri = url.parse().map_err(|err| not_sent(&err))?;
+    let host = uri.authority().map_or("", |host| host.as_str());
+    let path = uri.path_and_query().map_or("/", |path| path.as_str());
     let mut req = Request::builder().method(method).uri(path);
     for (name, value) in headers {
         req = req.header(*name, value.as_str());
     }
-    // A caller may name another host than the one that the connection goes to.
+    // The given headers may name another host than the one that is connected to.
     if !headers.iter().any(|(name, _)| header::HOST == *name) {
         req = req.header(header::HOST, host);
     }
-    let req = req.body(Full::from(body)).map_err(|err| unsendable(&err))?;
+    let req = req.body(Full::from(body)).map_err(|err| not_sent(&err))?;
     Ok((host.to_owned(), req))
 }
 
@@ -251,7 +250,7 @@
 
 async fn read(response: Response<Incoming>) -> Result<FullResponse, CallError> {
     let (parts, body) = response.into_parts();
-    let body = Limited::new(body, MAX_ANSWER)
+    let body = Limited::new(body, MAX_RESPONSE_BYTES)
         .collect()
         .await
         .map_err(|_| CallError::Unanswered)?;
@@ -262,72 +261,75 @@
     })
 }
 
-/// Connections without a call, by host, and how many there may be in all.
-struct IdleConnections {
+/// The idle connections of a client, and the limits on all its connections.
+struct ConnectionPool {
     limits: Limits,
-    /// Room for further connections, idle ones and others.
-    room: Arc<Semaphore>,
-    /// How many calls wait for room.
-    waiting: AtomicUsize,
-    known: Mutex<Known>,
+    /// One permit for each connection, idle or in use, that may still be opened.
+    permits: Arc<Semaphore>,
+    /// The number of calls that wait for a connection permit.
+    waiting_for_permit: AtomicUsize,
+    hosts: Mutex<Hosts>,
 }
 
-struct Known {
-    hosts: HashMap<String, Host>,
-    swept: Instant,
+struct Hosts {
+    /// By host and port.
+    by_name: HashMap<String, HostPool>,
+    last_sweep: Instant,
 }
 
-struct Host {
-    /// Turns to make calls.
-    turns: Arc<Semaphore>,
-    idle: Vec<Idle>,
+struct HostPool {
+    /// One call slot for each further call that may be made to the host now.
+    slots: Arc<Semaphore>,
+    /// The idle connections, the one that has been idle longest first.
+    idle: Vec<IdleConnection>,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-impl IdleConnections {
+impl ConnectionPool {
     fn new(limits: Limits) -> Self {
-        let known = Known {
-            hosts: HashMap::new(),
-            swept: Instant::now(),
+        let hosts = Hosts {
+            by_name: HashMap::new(),
+            last_sweep: Instant::now(),
         };
         Self {
             limits,
-            room: Arc::new(Semaphore::new(limits.total)),
-            waiting: AtomicUsize::new(0),
-            known: Mutex::new(known),
+            permits: Arc::new(Semaphore::new(limits.total)),
+            waiting_for_permit: AtomicUsize::new(0),
+            hosts: Mutex::new(hosts),
         }
     }
 
-    /// Waits for the turn to make a call to `host`, first come, first served.
-    async fn turn(&self, host: &str) -> Option<OwnedSemaphorePermit> {
-        let turns = {
-            let mut known = self.lock();
-            known.sweep();
-            Arc::clone(&known.host(host, self.limits.per_host).turns)
+    /// Waits for a call slot of `host`, first come, first served.
+    async fn acquire_slot(&self, host: &str) -> Option<OwnedSemaphorePermit> {
+        let slots = {
+            let mut hosts = self.lock();
+            hosts.sweep();
+            Arc::clone(&hosts.host(host, self.limits.per_host).slots)
         };
         // The semaphore is never closed.
-        turns.acquire_owned().await.ok()
+        slots.acquire_owned().await.ok()
     }
 
-    /// Waits for room for one more connection; the one that was idle longest makes room.
-    async fn room(&self) -> Option<OwnedSemaphorePermit> {
-        if self.room.available_permits() == 0 {
+    /// Waits for a connection permit.  If there is none, closes the connection that has been idle
+    /// longest, which frees its permit.
+    async fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
+        if self.permits.available_permits() == 0 {
             let closed = self.lock().take_oldest();
             drop(closed);
         }
-        let _waiting = Waiting::new(&self.waiting);
+        let _waiting = WaitingGuard::new(&self.waiting_for_permit);
         // The semaphore is never closed.
-        Arc::clone(&self.room).acquire_owned().await.ok()
+        Arc::clone(&self.permits).acquire_owned().await.ok()
     }
 
-    /// The connection that was used last, since it is the likeliest to work.
+    /// Takes the idle connection that was used last, since it is the likeliest to work.
     fn take(&self, host: &str) -> Option<Connection> {
-        let mut known = self.lock();
-        let idle = &mut known.hosts.get_mut(host)?.idle;
+        let mut hosts = self.lock();
+        let idle = &mut hosts.by_name.get_mut(host)?.idle;
         while let Some(last) = idle.pop() {
             let expired = last.since.elapsed() > IDLE_TIMEOUT;
             if !expired && !last.connection.sender.is_closed() {
@@ -337,105 +339,111 @@
         None
     }
 
-    /// Keeps a connection, unless a call to another host waits for its room.
+    /// Keeps a connection as idle.  If a call waits for a connection permit, closes it instead,
+    /// since that frees its permit.
     fn put(&self, host: &str, connection: Connection) {
-        if self.waiting.load(Ordering::Relaxed) > 0 {
+        if self.waiting_for_permit.load(Ordering::Relaxed) > 0 {
             return;
         }
         let since = Instant::now();
-        let mut known = self.lock();
-        let idle = &mut known.host(host, self.limits.per_host).idle;
-        idle.push(Idle { connection, since });
+        let mut hosts = self.lock();
+        let idle = &mut hosts.host(host, self.limits.per_host).idle;
+        idle.push(IdleConnection { connection, since });
     }
 
-    /// Closes all idle ones to `host`.
-    fn drop_all(&self, host: &str) {
-        if let Some(host) = self.lock().hosts.get_mut(host) {
+    /// Closes all idle connections to `host`.
+    fn close_idle(&self, host: &str) {
+        if let Some(host) = self.lock().by_name.get_mut(host) {
             host.idle.clear();
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Hosts> {
+        self.hosts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Counts a call as waiting for room, also when whoever makes it gives up.
-struct Waiting<'a>(&'a AtomicUsize);
+/// Counts a call as waiting for a connection permit until it is dropped, as it is when the call is
+/// abandoned.
+struct WaitingGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingGuard<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Known {
-    fn host(&mut self, host: &str, turns: usize) -> &mut Host {
-        if !self.hosts.contains_key(host) {
-            let new = Host {
-                turns: Arc::new(Semaphore::new(turns)),
+impl Hosts {
+    fn host(&mut self, host: &str, slots: usize) -> &mut HostPool {
+        if !self.by_name.contains_key(host) {
+            let new = HostPool {
+                slots: Arc::new(Semaphore::new(slots)),
                 idle: Vec::new(),
             };
-            self.hosts.insert(host.to_owned(), new);
+            self.by_name.insert(host.to_owned(), new);
         }
-        self.hosts.get_mut(host).expect("it was just put there")
+        self.by_name
+            .get_mut(host)
+            .expect("the host was just inserted")
     }
 
-    /// The connection that has been idle for the longest time, to whichever host.
+    /// Takes the connection that has been idle longest, to any host.
     fn take_oldest(&mut self) -> Option<Connection> {
         let oldest = self
-            .hosts
+            .by_name
             .values_mut()
             .filter(|host| !host.idle.is_empty())
             .min_by_key(|host| host.idle[0].since)?;
         Some(oldest.idle.remove(0).connection)
     }
 
-    /// Closes what nobody uses, also to hosts that are not called any more.
+    /// Closes connections that have been idle too long, also to hosts that are no longer called,
+    /// and removes hosts without idle connections and calls.  Does so at most once in
+    /// [`IDLE_TIMEOUT`].
     fn sweep(&mut self) {
-        if self.swept.elapsed() < IDLE_TIMEOUT {
+        if self.last_sweep.elapsed() < IDLE_TIMEOUT {
             return;
         }
-        self.swept = Instant::now();
-        self.hosts.retain(|_, host| {
+        self.last_sweep = Instant::now();
+        self.by_name.retain(|_, host| {
             host.idle.retain(|idle| {
                 idle.since.elapsed() < IDLE_TIMEOUT && !idle.connection.sender.is_closed()
             });
-            // Whoever waits for a turn or has one holds the semaphore as well.
-            !host.idle.is_empty() || Arc::strong_count(&host.turns) > 1
+            // A call that has a slot or waits for one holds the semaphore as well.
+            !host.idle.is_empty() || Arc::strong_count(&host.slots) > 1
         });
     }
 }
 
-/// A call on its way; unless it is answered, also when whoever waits for it gives up,
-/// the idle connections to its host are closed.
-struct Doubt<'a> {
-    idle: &'a IdleConnections,
+/// A call in flight.  If it is dropped without a complete response, also because the call is
+/// abandoned, the idle connections to its host are closed.
+struct InFlight<'a> {
+    pool: &'a ConnectionPool,
     host: &'a str,
-    settled: bool,
+    answered: bool,
 }
 
-impl<'a> Doubt<'a> {
-    fn new(idle: &'a IdleConnections, host: &'a str) -> Self {
+impl<'a> InFlight<'a> {
+    fn new(pool: &'a ConnectionPool, host: &'a str) -> Self {
         Self {
-            idle,
+            pool,
             host,
-            settled: false,
+            answered: false,
         }
     }
 }
 
-impl Drop for Doubt<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        if !self.settled {
-            self.idle.drop_all(self.host);
+        if !self.answered {
+            self.pool.close_idle(self.host);
         }
     }
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,9 +1,10 @@
-//! The product's own interface for callers and operators, and the client that all adapters share.
+//! The HTTP interface for callers and operators, and the HTTP client that the adapters of the
+//! platform share.
 
 pub mod api;
 pub mod body;
 pub mod client;
-pub mod keys;
 pub mod operator;
 pub mod response;
 pub mod server;
+pub mod unknown_keys;
--- a/src/http/operator.rs
+++ b/src/http/operator.rs
@@ -1,4 +1,4 @@
-//! Telling operators from callers by a shared token.
+//! Identifies operators by a shared token.
 
 use std::path::Path;
 
@@ -10,16 +10,17 @@
 /// The header that carries the operators' token.
 pub const TOKEN_HEADER: &str = "x-operator-token";
 
-/// The operators' token.  It is never logged: the type has no way to show it.
+/// The operators' token.  It implements neither `Debug` nor `Display`, so it cannot be logged.
 pub struct OperatorToken {
+    /// None if no token file is configured.
     token: Option<Vec<u8>>,
 }
 
 impl OperatorToken {
-    /// Reads the token from a file; without a file nobody is an operator.
+    /// Reads the token from a file.  Without a file, or with an empty one, nobody is an operator.
     ///
     /// # Errors
-    /// Fails if the file is named and cannot be read.
+    /// Fails if a file is named and cannot be read.
     pub fn load(path: Option<&Path>) -> Result<Self> {
         let Some(path) = path else {
             return Ok(Self { token: None });
@@ -33,8 +34,9 @@
         })
     }
 
-    /// Tells whether the headers carry the token; takes the same time for any wrong one.
-    pub fn admits(&self, headers: &HeaderMap) -> bool {
+    /// Tells whether the headers carry the token.  The time this takes does not depend on how much
+    /// of a wrong token is right, so nobody can guess the token from it.
+    pub fn is_in(&self, headers: &HeaderMap) -> bool {
         let given = headers
             .get(TOKEN_HEADER)
             .map(|value| value.as_bytes())
--- a/src/http/response.rs
+++ b/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Answers with JSON bodies; every failure has a stable code.
+//! Builds HTTP responses; each error response has a JSON body with a stable code.
 
 use serde::{Deserialize, Serialize};
 use volo_http::body::Body;
@@ -9,28 +9,28 @@
 use crate::clock::Millis;
 use crate::refusal::Refusal;
 
-/// The body of every answer that is not a success.
+/// The body of each response that reports an error.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The stable code.
     pub code: String,
-    /// What is wrong, for a person.
+    /// What is wrong, for people to read.
     pub message: String,
     /// What to do about it.
     pub remedy: String,
-    /// Whether anything was done: `not_run` or `unknown`.
+    /// `not_run` if nothing was done and nothing will be, `unknown` otherwise.
     pub outcome: String,
-    /// When coming back may help, in milliseconds.
+    /// After how many milliseconds a retry may succeed; none if no retry will.
     #[serde(default)]
     pub retry_after_ms: Option<Millis>,
 }
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match serde_json::to_string(value) {
         Ok(body) => text(status, "application/json", body),
         Err(err) => {
-            tracing::error!(%err, "an answer cannot be encoded");
+            tracing::error!(%err, "cannot encode a response");
             text(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "application/json",
@@ -40,7 +40,7 @@
     }
 }
 
-/// Builds an answer with a body of the given type.
+/// Builds a response with a body of the given content type.
 pub fn text(status: StatusCode, content_type: &'static str, body: String) -> Response {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = status;
@@ -50,7 +50,7 @@
     response
 }
 
-/// Says when to come back; the header counts whole seconds.
+/// Sets the `Retry-After` header to the pause, rounded up to whole seconds.
 pub fn set_retry_after(response: &mut Response, pause: Millis) {
     response.headers_mut().insert(
         header::RETRY_AFTER,
@@ -58,14 +58,15 @@
     );
 }
 
-/// Says how a caller names itself.
+/// Sets the `WWW-Authenticate` header, which asks the caller for a bearer key.
 pub fn set_www_authenticate(response: &mut Response) {
     response
         .headers_mut()
         .insert(header::WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
 }
 
-/// Builds the answer of the product's own interface to something that was refused.
+/// Builds the error response for a refused request.  `detail` replaces the general message of the
+/// refusal; `pause` is when to retry, if a retry may succeed.
 pub fn refusal(refusal: Refusal, detail: Option<String>, pause: Millis) -> Response {
     let description = refusal.describe();
     let outcome = if description.not_run {
@@ -73,7 +74,7 @@
     } else {
         "unknown"
     };
-    let failure = ErrorBody {
+    let body = ErrorBody {
         code: description.code.to_owned(),
         message: detail.unwrap_or_else(|| description.meaning.to_owned()),
         remedy: description.remedy.to_owned(),
@@ -82,7 +83,7 @@
     };
     let status =
         StatusCode::from_u16(description.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = json(status, &failure);
+    let mut response = json(status, &body);
     if description.retryable {
         set_retry_after(&mut response, pause);
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP until the process ends.
+//! The HTTP server.
 
 use std::convert::Infallible;
 use std::io;
@@ -20,17 +20,17 @@
 use crate::queue::Configuration;
 use crate::workspace::{Caller, KeyError};
 
-/// The most headers that a request may have.
+/// The largest number of headers that a request may have.
 const MAX_HEADERS: usize = 64;
 
-/// Serves for as long as the task lives.
+/// Serves HTTP until the task is dropped.
 ///
-/// The library's server would end on any signal, also on those that only ask to
-/// read the settings again, so its end is held back for good; the process itself
-/// decides when it is over.
+/// The server of `volo_http` would shut down on any signal, also on one that only asks the process
+/// to read its settings again.  It is therefore given a shutdown hook that never completes, and the
+/// process itself decides when to end.
 ///
 /// # Errors
-/// Fails if the server ends by itself.
+/// Fails if the server stops by itself.
 pub async fn serve<S>(listener: TcpListener, service: S) -> Result<()>
 where
     S: Service<ServerContext, Request, Response = Response, Error = Infallible>
@@ -41,35 +41,35 @@
     let mut server = Server::new(service).register_shutdown_hook(never);
     server.http1_config().set_max_headers(MAX_HEADERS);
     server
-        .run(Watched(listener))
+        .run(TimeoutListener(listener))
         .await
         .map_err(Error::HttpServer)
 }
 
-/// Tells who calls by the headers of a request.  A caller that brings several keys brings none: they
-/// would not tell whose call it is.
+/// Identifies the caller by the `Authorization` header of a request.  Several such headers count as
+/// none, since they may name different workspaces.
 ///
 /// # Errors
-/// Fails if the caller needs a key and has none that is known.
+/// Fails if the caller needs a key and has sent none, or none that is known.
 pub fn identify_caller(
     config: &Configuration,
     is_public: bool,
     headers: &HeaderMap,
 ) -> std::result::Result<Caller, KeyError> {
     let mut values = headers.get_all(header::AUTHORIZATION).iter();
-    let only = match (values.next(), values.next()) {
+    let key_header = match (values.next(), values.next()) {
         (Some(value), None) => Some(value.as_bytes()),
         _ => None,
     };
-    config.identify_caller(is_public, only)
+    config.identify_caller(is_public, key_header)
 }
 
-/// Accepts connections and has those ended whose caller has gone silent: each would hold
-/// its memory and a descriptor for ever.
+/// A listener that sets time-outs on the connections it accepts, so that the kernel closes those
+/// whose caller has gone silent.  Otherwise each would hold memory and a descriptor for ever.
 #[derive(Debug)]
-struct Watched(TcpListener);
+struct TimeoutListener(TcpListener);
 
-impl MakeIncoming for Watched {
+impl MakeIncoming for TimeoutListener {
     type Incoming = Self;
 
     async fn make_incoming(self) -> io::Result<Self> {
@@ -77,11 +77,11 @@
     }
 }
 
-impl Incoming for Watched {
+impl Incoming for TimeoutListener {
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
         let (stream, _) = self.0.accept().await?;
         if let Err(err) = keep_alive::set_caller_timeouts(&stream) {
-            tracing::debug!(%err, "a caller that goes silent is not noticed");
+            tracing::debug!(%err, "cannot set keep-alive; a silent caller is not noticed");
         }
         Ok(Some(Conn::from(stream)))
     }
--- a/src/rpc/transport.rs
+++ b/src/rpc/transport.rs
@@ -246,7 +246,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 if let Err(err) = keep_alive::set_peer_timeouts(&stream) {
-                    tracing::warn!(%err, "no keep-alive; a silent connection is closed late");
+                    tracing::warn!(%err, "cannot set keep-alive; a silent node is noticed late");
                 }
                 let network = network(stream, rpc_twoparty_capnp::Side::Server);
                 let system = RpcSystem::new(Box::new(network), Some(server.clone()));
