--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -1,4 +1,5 @@
-//! What all parts of a node share.
+//! The state of a node that all its parts share, and what they do with it: access to the store,
+//! heartbeats and metrics.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,83 +19,90 @@
 use crate::rpc::node::{Heartbeat, NodeLink};
 use crate::store::{StoreCall, StoreError, StoreReply};
 
-/// Every cell's rows lie in a partition of their own.  There is one cell so far.
+/// The partition of the cell's own rows.  Each cell has its own partition, and there is one cell so
+/// far.
 pub const PARTITION: &str = "c0";
 
-/// Where nodes write where they are.  In the partition of the cell, 45 nodes that start again beside
-/// a store that is 77 times slower would hold its owner's transactions up for 11 s.
+/// The partition of the rows in which nodes publish their addresses.  It is not the cell's: there,
+/// the writes of 45 nodes that restart while the store is 77 times slower would delay the owner's
+/// transactions by 11 s.
 pub const NODES_PARTITION: &str = "nodes";
 
-/// Accepted jobs lie in so many partitions, which every node writes in turn: some of a
-/// store's partitions may be down while others work, and a slow one takes few writes.
+/// The number of partitions for accepted jobs.  Each node writes to them in turn, since some
+/// partitions may be unavailable while others work, and a slow store accepts few transactions in
+/// each.
 pub const JOB_PARTITIONS: usize = 24;
 
-/// The name of a partition of jobs.
+/// Returns the name of a partition of jobs; numbers beyond the last one wrap around.
 pub fn job_partition(number: usize) -> String {
     format!("j{}", number % JOB_PARTITIONS)
 }
 
-/// The way to the outside, given to a node when it is made.
+/// The clients of a node for everything outside its process.
 pub struct Links {
-    /// The store.
+    /// The client of the store.
     pub store: Arc<dyn crate::store::Store>,
-    /// Workers.
+    /// Sends orders to workers.
     pub workers: Arc<dyn Workers>,
-    /// The advice service, if there is one.
+    /// The client of the advice service, if there is one.
     pub advisor: Option<Arc<dyn Advisor>>,
-    /// The meaning of rows that others write.
+    /// Decodes rows that others write.
     pub decoder: Arc<dyn Decoder>,
-    /// Other nodes.
+    /// Sends calls to other nodes.
     pub peers: Arc<dyn NodeLink>,
 }
 
-/// Which node this is.
+/// What identifies a node.
 pub struct Identity {
     /// Its name, unique in the cell.
     pub name: String,
-    /// Names this start of the process.
+    /// A random number that identifies this start of its process.
     pub boot: u64,
-    /// Where it answers other nodes.
+    /// The address at which it answers other nodes.
     pub address: SocketAddr,
 }
 
-/// What all parts of a node share.
+/// The shared state of a node.
 pub struct Shared {
-    /// The node's name.
+    /// The node's name, unique in the cell.
     pub name: String,
-    /// Names this start of the process.
+    /// A random number that identifies this start of the process.
     pub boot: u64,
-    /// Where this node answers other nodes.
+    /// The address at which this node answers other nodes.
     pub address: SocketAddr,
-    /// Nodes to ask when the store is not reached.
+    /// Addresses of nodes to ask when the store cannot be reached.
     pub seeds: Vec<SocketAddr>,
-    /// The time.
+    /// The clock by which the node measures time.
     pub clock: Arc<dyn Clock>,
-    /// How much this node can do.
+    /// The CPU capacity of this node, and whether it is overloaded.
     pub load: Load,
-    /// Counters.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// Workers.
+    /// Sends orders to workers.
     pub workers: Arc<dyn Workers>,
-    /// The advice service, if there is one.
+    /// The client of the advice service, if there is one.
     pub advisor: Option<Arc<dyn Advisor>>,
-    /// The meaning of rows that others write.
+    /// Decodes rows that others write.
     pub decoder: Arc<dyn Decoder>,
-    /// Other nodes.
+    /// Sends calls to other nodes.
     pub peers: Arc<dyn NodeLink>,
     store: RoutedStore,
     members: Mutex<Members>,
+    /// The configuration in force; none until one is known.
     config: RwLock<Option<Arc<Configuration>>>,
     hall_rows: Mutex<HallRows>,
     owner: Mutex<Owner>,
     early_ends: Mutex<EarlyEnds>,
+    /// The engine, while this node owns the cell.
     engine: Mutex<Option<Arc<Engine>>>,
+    /// The process is shutting down.
     leaving: AtomicBool,
+    /// This node is claiming the cell or loading it.
     claiming: AtomicBool,
 }
 
 impl Shared {
-    /// Puts a node's shared state together.
+    /// Creates the shared state of a node that knows no other node and no configuration yet.
     pub fn new(
         identity: Identity,
         seeds: Vec<SocketAddr>,
@@ -132,29 +140,29 @@
         })
     }
 
-    /// The time.
+    /// Returns the time by this node's clock, in milliseconds.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// The other nodes.
+    /// Locks and returns the list of the other nodes.
     pub fn members(&self) -> MutexGuard<'_, Members> {
         self.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Who owns the cell.
+    /// Locks and returns what this node knows of the cell's owner.
     pub fn owner(&self) -> MutexGuard<'_, Owner> {
         self.owner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends that an owner told of and could not record.
+    /// Locks and returns the ends that an owner has reported and could not record yet.
     pub fn early_ends(&self) -> MutexGuard<'_, EarlyEnds> {
         self.early_ends
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The engine, if this node owns the cell.
+    /// Returns the engine if this node owns the cell.
     pub fn engine(&self) -> Option<Arc<Engine>> {
         self.engine
             .lock()
@@ -162,12 +170,12 @@
             .clone()
     }
 
-    /// This node owns the cell, or does not any more.
+    /// Sets the engine of the cell that this node now owns, or removes it.
     pub fn set_engine(&self, engine: Option<Arc<Engine>>) {
         *self.engine.lock().unwrap_or_else(PoisonError::into_inner) = engine;
     }
 
-    /// The configuration in force, if one is known.
+    /// Returns the configuration in force, if one is known.
     pub fn config(&self) -> Option<Arc<Configuration>> {
         self.config
             .read()
@@ -175,10 +183,11 @@
             .clone()
     }
 
-    /// Puts a configuration in force if it is newer; never goes back.
+    /// Puts a configuration in force if its version is higher than the present one's.  `source` is
+    /// logged.
     pub fn adopt_config(&self, config: Configuration, source: &'static str) {
-        let mut held = self.config.write().unwrap_or_else(PoisonError::into_inner);
-        let version = held.as_ref().map_or(0, |config| config.version);
+        let mut in_force = self.config.write().unwrap_or_else(PoisonError::into_inner);
+        let version = in_force.as_ref().map_or(0, |config| config.version);
         if config.version <= version {
             return;
         }
@@ -189,41 +198,41 @@
             queues = config.queues().len(),
             "configuration in force"
         );
-        *held = Some(Arc::new(config));
-        drop(held);
+        *in_force = Some(Arc::new(config));
+        drop(in_force);
         if let Some(engine) = self.engine() {
             engine.configure();
         }
     }
 
-    /// What the operator's rows about halls say.
+    /// Locks and returns the evacuated halls according to the operator's rows.
     pub fn hall_rows(&self) -> MutexGuard<'_, HallRows> {
         self.hall_rows
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The version of the configuration in force; zero for none.
+    /// Returns the version of the configuration in force; zero if there is none.
     pub fn config_version(&self) -> u64 {
         self.config().map_or(0, |config| config.version)
     }
 
-    /// The node is about to end.
+    /// Marks the node as shutting down.
     pub fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether the node is about to end.
+    /// Tells whether the node is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// The node is claiming the cell or loading it, or does not any more.
+    /// Sets whether this node is claiming the cell or loading it.
     pub fn set_claiming(&self, claiming: bool) {
         self.claiming.store(claiming, Ordering::Relaxed);
     }
 
-    /// Renders counters and histograms as text.
+    /// Updates the gauges and renders all metrics as text.
     ///
     /// # Errors
     /// Fails if a collector cannot be encoded.
@@ -246,7 +255,8 @@
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Makes a call to the store by any way.
+    /// Makes a call to the store, directly or through a peer.  The wait for the answer to a direct
+    /// transaction is limited to [`Self::store_timeout`].
     ///
     /// # Errors
     /// See [`StoreError`].
@@ -254,8 +264,8 @@
         self.store.call(self, call, ReplyTimeout::Adaptive).await
     }
 
-    /// Makes a call to the store by any way, and waits for its answer as long as it may
-    /// take: the caller has other tries beside this one.
+    /// Makes a call to the store like [`Self::store`], but waits for the answer until the store
+    /// client gives up.  For callers that may make other attempts meanwhile.
     ///
     /// # Errors
     /// See [`StoreError`].
@@ -266,7 +276,8 @@
         self.store.call(self, call, ReplyTimeout::ClientOnly).await
     }
 
-    /// Makes a call to the store through other nodes, or directly if there are none.
+    /// Makes a call to the store through a peer, or like [`Self::store_without_timeout`] if no peer
+    /// could relay it.
     ///
     /// # Errors
     /// See [`StoreError`].
@@ -280,29 +291,30 @@
         }
     }
 
-    /// How long the answer to a transaction can be expected to take at most.
+    /// Returns the time that the answer to a transaction can be expected to take at most.
     pub fn store_timeout(&self) -> std::time::Duration {
         self.store.timeout()
     }
 
-    /// Tells whether the store is slow, or may have turned so just now.
+    /// Tells whether the store is slow, or has not answered for so long that it probably is.
     pub fn store_is_slow(&self) -> bool {
         self.store.is_slow(self.now())
     }
 
-    /// Tells whether the store takes long and does answer, so that waiting is worth while.
+    /// Tells whether the store is slow but does answer, so that waiting longer is worthwhile.
     pub fn store_answers_slowly(&self) -> bool {
         self.store.answers_slowly(self.now())
     }
 
-    /// Our place among all nodes that we know, by name, and how many there are.
+    /// Returns the position of this node, counted from zero, among all known nodes sorted by name,
+    /// and the number of these nodes.
     pub fn rank(&self) -> (usize, usize) {
         let members = self.members();
         let before = members.iter().filter(|(name, _)| **name < self.name);
         (before.count(), members.iter().count() + 1)
     }
 
-    /// Makes a call to the store by the direct way only, as for a peer.
+    /// Makes a call to the store on the direct route only, for example to relay it for a peer.
     ///
     /// # Errors
     /// See [`StoreError`].
@@ -312,23 +324,23 @@
             .await
     }
 
-    /// Watches the direct way to the store until the process ends.
+    /// Probes the direct route to the store whenever it may have failed, until the process ends.
     pub async fn probe_store(self: Arc<Self>) {
         self.store.probe_loop(Arc::clone(&self)).await;
     }
 
-    /// Tells whether the store is reached by any way.
+    /// Tells whether the store can be reached, directly or through a peer.
     pub fn can_reach_store(&self) -> bool {
         let relays = || self.members().relays(self.now(), RELAY_WINDOW);
         self.reaches_store() || !relays().is_empty()
     }
 
-    /// Tells whether the direct way to the store works.
+    /// Tells whether the direct route to the store works.
     pub fn reaches_store(&self) -> bool {
         self.store.direct_works()
     }
 
-    /// How this node stands in the store.
+    /// Returns the row by which this node is known in the store.
     pub fn row(&self) -> NodeRow {
         NodeRow {
             address: self.address,
@@ -336,8 +348,8 @@
         }
     }
 
-    /// What this node says of itself to the node `name`, with what that one may not know of
-    /// others.
+    /// Builds a heartbeat for the node `name`, with changes of the list of nodes that it may not
+    /// know.
     pub fn heartbeat_for(&self, name: &str) -> Heartbeat {
         let changes = self.members().changes_for(name);
         Heartbeat {
@@ -346,7 +358,7 @@
         }
     }
 
-    /// What this node says of itself.
+    /// Builds a heartbeat without changes of the list of nodes.
     pub fn heartbeat(&self) -> Heartbeat {
         let now = self.now();
         let owner = self.owner().clone();
@@ -392,6 +404,8 @@
         }
     }
 
+    /// Applies the early ends in a heartbeat: those from an owner are kept for its successor, and as
+    /// the owner this node accepts what a former owner had decided.
     fn apply_ends(&self, beat: &Heartbeat) {
         match self.engine() {
             _ if beat.owns => self.early_ends().apply_heartbeat(beat),
@@ -403,29 +417,35 @@
         }
     }
 
-    /// The owner of the highest epoch is sure of who is there; all others may be behind.
+    /// Applies a heartbeat to the list of nodes.  Only the owner of the highest epoch is an
+    /// authoritative source, since the lists of other nodes may be outdated.
     fn apply_members(&self, beat: &Heartbeat, now: Millis) {
-        let owner_speaks = beat.owns && beat.epoch >= self.owner().epoch;
-        let source = match owner_speaks && self.engine().is_none() {
+        let from_owner = beat.owns && beat.epoch >= self.owner().epoch;
+        let source = match from_owner && self.engine().is_none() {
             true => Source::Authoritative,
             false => Source::Secondhand,
         };
         let refused = self.members().apply_heartbeat(beat, source, now);
         if refused > 0 {
-            tracing::warn!(node = beat.name, refused, "entries of nodes are refused");
+            tracing::warn!(
+                node = beat.name,
+                refused,
+                "entries of nodes in a heartbeat are refused"
+            );
             self.metrics.event("unreadable_member");
         }
     }
 
-    /// Takes in what another node says of itself.
+    /// Applies a heartbeat of another node: to the list of nodes, to the early ends, and to what is
+    /// known of the owner.  If it shows a higher epoch, this node's own engine retires.
     pub fn apply_heartbeat(&self, beat: &Heartbeat) {
         let now = self.now();
         self.apply_members(beat, now);
         self.apply_ends(beat);
         let mut owner = self.owner();
         if beat.owns && beat.epoch >= owner.epoch {
-            let news = owner.epoch != beat.epoch || owner.address.is_none();
-            if news {
+            let is_new = owner.epoch != beat.epoch || owner.address.is_none();
+            if is_new {
                 tracing::info!(epoch = beat.epoch, owner = beat.name, "owner of the cell");
             }
             owner.note_heartbeat(beat.epoch, beat.address.parse().ok(), now);
@@ -439,7 +459,7 @@
             );
             owner.release();
         } else if beat.epoch > owner.epoch {
-            // Its claimant is loading the cell and soon tells of itself.
+            // The claimant of that epoch is loading the cell and will soon send heartbeats.
             owner.await_claimant(beat.epoch, None, now);
         }
         if let Some(age) = beat.claim_age
@@ -452,7 +472,7 @@
         if let Some(engine) = self.engine()
             && epoch > engine.epoch
         {
-            engine.retire("a higher epoch was heard of");
+            engine.retire("another node has reported a higher epoch");
         }
     }
 }
