--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -404,8 +404,8 @@
         }
     }
 
-    /// Applies the early ends in a heartbeat: those from an owner are kept for its successor, and as
-    /// the owner this node accepts what a former owner had decided.
+    /// Applies the early ends in a heartbeat: those from an owner are kept for its successor, and
+    /// as the owner this node accepts what a former owner had decided.
     fn apply_ends(&self, beat: &Heartbeat) {
         match self.engine() {
             _ if beat.owns => self.early_ends().apply_heartbeat(beat),
