--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the other rows of the operator: from the store, or from a node
+//! Follows the configuration and the other rows of the operator: in the store, or through a node
 //! that has a newer version.
 
 use std::net::SocketAddr;
@@ -14,95 +14,99 @@
 use crate::rpc::node::{NodeCall, NodeReply};
 use crate::store::{Row, StoreCall, StoreError, StoreReply, Table, Version};
 
-/// How long the store holds a question for changes.  A change must be in force
-/// within 2 s, and a held question may miss one when the store drops its history.
-const WAIT: Millis = 1_200;
-/// The same for a node that hears of newer versions from the owner.
-const TOLD_WAIT: Millis = 4_000;
-/// A node is told as long as it heard the owner within this: two heartbeats, of which one is late.
-const TOLD_WITHIN: Millis = 1_200;
-/// The pause after a failure.
-const RETRY: Duration = Duration::from_millis(200);
-/// How often other nodes' versions are compared with ours.
-const COMPARE: Duration = Duration::from_millis(150);
-/// How long a node may take to send its configuration.
+/// How long the store may hold a request for changes of the operator's rows, in milliseconds.  A
+/// change must be in force within 2 s, and a held request may miss one if the store drops its
+/// history.
+const CHANGES_WAIT: Millis = 1_200;
+/// How long the store may hold the request of a node that is notified of newer versions by the
+/// owner, in milliseconds.
+const NOTIFIED_CHANGES_WAIT: Millis = 4_000;
+/// A node counts on the owner's notifications if it has heard the owner within this time, in
+/// milliseconds: two heartbeats, one of which is late.
+const NOTIFIED_WITHIN: Millis = 1_200;
+/// The pause after a failed read of the store.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How often the versions of other nodes are compared with the own one.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(150);
+/// Time limit for another node to send its configuration, in milliseconds.
 const FETCH_TIMEOUT: Millis = 800;
 
 /// Follows the operator's rows until the process ends.
 ///
-/// The owner and the nodes that watch it read them from the store.  The others hear from the owner
-/// which version there is, and get it from a watcher, so that the store sends a version to few and
-/// is asked seldom however many nodes there are.  They only hold a question for other changes
-/// there, which shows whether the store is reached.
+/// The owner and its watchers read them from the store.  The other nodes learn from the owner's
+/// heartbeats which version is the newest, and fetch it from a watcher (see [`follow_members`]), so
+/// that the store has to send each version to a few nodes only, and the number of requests stays
+/// low in a large cell.  At the store these nodes only hold a request for changes of nodes' rows,
+/// which shows whether the store can be reached.
 pub async fn follow(shared: Arc<Shared>) {
     let mut source = Source::Nothing;
     loop {
         source = match source {
-            Source::Nothing => follow_whole(&shared).await,
-            Source::Operator(after) if is_told(&shared) => {
+            Source::Nothing => read_all(&shared).await,
+            Source::Operator(after) if is_notified(&shared) => {
                 shared.hall_rows().stop_following();
                 Source::Owner(after)
             }
             Source::Operator(after) => follow_changes(&shared, after).await,
-            // What has changed meanwhile was told to others only.
-            Source::Owner(_) if !is_told(&shared) => Source::Nothing,
+            // Changes since the notifications stopped have not reached this node.
+            Source::Owner(_) if !is_notified(&shared) => Source::Nothing,
             Source::Owner(after) => follow_owner(&shared, after).await,
         };
     }
 }
 
-/// Where a node learns of changes of the operator's rows.
+/// From where a node learns of changes of the operator's rows.
 #[derive(Debug, Clone, Copy)]
 enum Source {
-    /// Nothing is followed, so all has to be read.
+    /// Nothing is followed, so all rows have to be read.
     Nothing,
-    /// The operator's rows, after this version.
+    /// From the operator's rows in the store, after this version.
     Operator(Version),
-    /// The owner; changes of nodes are asked for after this version.
+    /// From the owner.  The version is that after which changes of nodes' rows are requested.
     Owner(Version),
 }
 
-async fn follow_whole(shared: &Arc<Shared>) -> Source {
-    let reply = whole(shared).await;
-    take_reply(shared, reply, 0).await
+async fn read_all(shared: &Arc<Shared>) -> Source {
+    let reply = read_rows(shared).await;
+    apply_reply(shared, reply, 0).await
 }
 
 async fn follow_changes(shared: &Arc<Shared>, after: Version) -> Source {
-    let reply = changes(shared, Table::Operator, after, WAIT).await;
-    take_reply(shared, reply, after).await
+    let reply = changes(shared, Table::Operator, after, CHANGES_WAIT).await;
+    apply_reply(shared, reply, after).await
 }
 
-/// Takes in the operator's rows, and tells how to go on.
-async fn take_reply(
+/// Applies the operator's rows, and returns from where to follow further changes.
+async fn apply_reply(
     shared: &Arc<Shared>,
     reply: Result<StoreReply, StoreError>,
     after: Version,
 ) -> Source {
     match reply {
         Ok(StoreReply::Rows { rows, version, .. }) => {
-            take_rows(shared, &rows);
+            apply_configuration(shared, &rows);
             halls::apply_changes(shared, &rows);
             return Source::Operator(version.max(after));
         }
         Ok(StoreReply::Forgotten) => {}
         Ok(_) => {
-            tracing::error!("the store's answer to a question for changes is of the wrong kind")
+            tracing::error!("unexpected kind of answer from the store to a request for changes")
         }
         Err(err) => {
-            tracing::debug!(%err, "configuration cannot be followed");
+            tracing::debug!(%err, "cannot follow the configuration");
             read_halls_as_owner(shared).await;
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
     Source::Nothing
 }
 
-/// Holds a question for changes of nodes, of which only the version is wanted, until the owner is
-/// heard no more.
+/// Holds a request for changes of nodes' rows at the store until there are some, or until this node
+/// is no longer notified by the owner.  Only the version in the answer is used.
 async fn follow_owner(shared: &Arc<Shared>, after: Version) -> Source {
     let answer = tokio::select! {
-        answer = changes(shared, Table::Nodes, after, TOLD_WAIT) => answer,
-        () = until_untold(shared) => return Source::Nothing,
+        answer = changes(shared, Table::Nodes, after, NOTIFIED_CHANGES_WAIT) => answer,
+        () = until_not_notified(shared) => return Source::Nothing,
     };
     match answer {
         Ok(StoreReply::Rows { version, .. }) => Source::Owner(version.max(after)),
@@ -110,30 +114,32 @@
     }
 }
 
-/// Tells whether the owner tells this node of newer versions: it is heard, and this node is none of
-/// those that tell others.
-fn is_told(shared: &Shared) -> bool {
+/// Tells whether this node relies on the owner to notify it of newer versions: it hears the owner,
+/// and it is neither the owner itself nor a watcher, since these read the store.
+fn is_notified(shared: &Shared) -> bool {
     let is_heard = {
         let owner = shared.owner();
         let is_other = owner
             .address
             .is_some_and(|address| address != shared.address);
-        is_other && owner.silence(shared.now()) < TOLD_WITHIN
+        is_other && owner.silence(shared.now()) < NOTIFIED_WITHIN
     };
     is_heard && shared.engine().is_none() && !shared.members().watches(&shared.name)
 }
 
-/// Waits until the owner is heard no more, or has told of a version that could not be had for a while.
-async fn until_untold(shared: &Shared) {
+/// Waits until this node is no longer notified by the owner, or has known of a newer version for
+/// [`NOTIFIED_WITHIN`] without being able to fetch it.
+async fn until_not_notified(shared: &Shared) {
     let mut behind_since = None;
     loop {
-        tokio::time::sleep(COMPARE).await;
+        tokio::time::sleep(COMPARE_INTERVAL).await;
         let now = shared.now();
         match newer_member(shared) {
             Some(_) => behind_since = behind_since.or(Some(now)),
             None => behind_since = None,
         }
-        if !is_told(shared) || behind_since.is_some_and(|since| now >= since + TOLD_WITHIN) {
+        if !is_notified(shared) || behind_since.is_some_and(|since| now >= since + NOTIFIED_WITHIN)
+        {
             return;
         }
     }
@@ -149,9 +155,9 @@
     shared.store_direct(call).await
 }
 
-/// Reads the configuration, and then the halls: what changes between the two is told once more, as
-/// changes are followed from the first of them.
-async fn whole(shared: &Arc<Shared>) -> Result<StoreReply, StoreError> {
+/// Reads the configuration, and then the evacuated halls.  The reply is that to the first read, so
+/// changes are followed from its version on, and any made between the two reads are applied again.
+async fn read_rows(shared: &Arc<Shared>) -> Result<StoreReply, StoreError> {
     let key = shared.decoder.configuration_key();
     let call = StoreCall::row(Table::Operator, "", key);
     let reply = shared.store_direct(call).await?;
@@ -159,38 +165,40 @@
     Ok(reply)
 }
 
-/// An owner that the store turns away must still know where it may start nothing.
+/// Reads the evacuated halls, through a peer if need be, if this node owns the cell: it must know
+/// them even when the store refuses its own calls, since it may start nothing there.
 async fn read_halls_as_owner(shared: &Arc<Shared>) {
     if shared.engine().is_some()
         && let Err(err) = halls::read(shared).await
     {
-        tracing::debug!(%err, "evacuated halls cannot be read");
+        tracing::debug!(%err, "cannot read the evacuated halls");
     }
 }
 
-fn take_rows(shared: &Shared, rows: &[Row]) {
+fn apply_configuration(shared: &Shared, rows: &[Row]) {
     let key = shared.decoder.configuration_key();
     for row in rows.iter().filter(|row| row.key == key && !row.dropped) {
         match shared.decoder.configuration(&row.value) {
             Ok(config) => shared.adopt_config(config, "store"),
             Err(err) => {
-                tracing::error!(%err, "the configuration cannot be read; the former one stays");
+                tracing::error!(%err, "cannot decode the configuration; keeping the former one");
                 shared.metrics.event("unreadable_configuration");
             }
         }
     }
 }
 
-/// Fetches the configuration from other nodes when one of them has a newer one.
+/// Fetches the configuration from another node whenever one has a newer version, until the process
+/// ends.
 pub async fn follow_members(shared: Arc<Shared>) {
     let mut failures = 0;
     loop {
-        tokio::time::sleep(COMPARE).await;
+        tokio::time::sleep(COMPARE_INTERVAL).await;
         let Some(newest) = newer_member(&shared) else {
             continue;
         };
-        let address = match is_told(&shared) {
-            true => nth_watcher(&shared, failures).unwrap_or(newest),
+        let address = match is_notified(&shared) {
+            true => watcher_to_ask(&shared, failures).unwrap_or(newest),
             false => newest,
         };
         failures = match fetch(&shared, address).await {
@@ -200,7 +208,8 @@
     }
 }
 
-/// Where a node answers that has a newer configuration than this one.
+/// Returns the address of a node with a newer configuration than this one's: of those with the
+/// newest, the one that was heard last.
 fn newer_member(shared: &Shared) -> Option<SocketAddr> {
     let version = shared.config_version();
     let members = shared.members();
@@ -211,15 +220,17 @@
     newer.map(|(_, member)| member.address)
 }
 
-/// One of the watchers, another one at each try; which is the first differs from node to node, so
-/// that each sends the configuration to a part of them.  None at each last try of a round, since the
-/// watchers may all be behind.
-fn nth_watcher(shared: &Shared, failures: usize) -> Option<SocketAddr> {
+/// Returns the address of the watcher to ask after this many failures in a row: a different one
+/// each time.  Nodes start at different watchers, so that each of these sends the configuration to
+/// a part of the nodes only.  Once in each round through the watchers the result is none, since all
+/// of them may be outdated.
+fn watcher_to_ask(shared: &Shared, failures: usize) -> Option<SocketAddr> {
     let watchers = shared.members().first_candidates();
     let place = (xxh3_64(shared.name.as_bytes()) as usize).wrapping_add(failures);
     watchers.get(place % (watchers.len() + 1)).copied()
 }
 
+/// Fetches the configuration from one node; false if it did not send one.
 async fn fetch(shared: &Arc<Shared>, address: SocketAddr) -> bool {
     let call = NodeCall::Configuration(shared.config_version());
     let Ok(NodeReply::Configuration(body)) = shared.peers.call(address, call, FETCH_TIMEOUT).await
@@ -232,7 +243,7 @@
             true
         }
         Err(err) => {
-            tracing::error!(%err, "a node's configuration cannot be read");
+            tracing::error!(%err, "cannot decode the configuration of another node");
             false
         }
     }
