--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node: an INI file, checked as a whole before anything starts.
+//! The settings of a node: an INI file, which is checked completely before anything starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,53 +13,54 @@
 pub struct Settings {
     /// The node's name, unique in the cell.
     pub name: String,
-    /// The hall that its VM stands in.
+    /// The data hall that its VM stands in.
     pub hall: String,
-    /// The processors that the VM gives the node, in thousandths of a core.
+    /// The CPU capacity that the VM gives the node, in thousandths of a core.
     pub millicores: u32,
-    /// The descriptors that the process may have open.
+    /// How many file descriptors the process may have open.
     pub descriptors: u32,
-    /// Which lines are logged, in the directives of `tracing`.
+    /// Which lines are logged, as filter directives of `tracing`.
     pub log: String,
-    /// Where callers are served in the platform's manner.
+    /// The address on which callers are served through the platform's interface.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the node takes work.
+    /// The address on which the load balancer asks whether the node takes work.
     pub ready: SocketAddr,
-    /// Where other nodes are served.
+    /// The address on which other nodes are served.
     pub peers: SocketAddr,
-    /// Where counters and histograms are served.
+    /// The address on which metrics are served.
     pub metrics: SocketAddr,
-    /// Where the product's own interface is served, if it is.
+    /// The address on which the product's own API is served; none if it is not.
     pub api: Option<SocketAddr>,
-    /// Nodes to ask when the store is not reached.
+    /// Addresses of nodes to ask when the store cannot be reached.
     pub seeds: Vec<SocketAddr>,
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// The advice service, if there is one.
+    /// The address of the advice service, if there is one.
     pub advice: Option<SocketAddr>,
-    /// The file that holds the operators' token; without it nobody is an operator.
+    /// The file that holds the operators' token; without it no call is accepted as an operator's.
     pub token_file: Option<PathBuf>,
 }
 
-/// The lines that are logged if the settings do not say.
+/// The default filter of logged lines.
 const DEFAULT_LOG: &str = "info";
-/// The processors of a VM of which the settings say nothing: a whole core.
+/// The default CPU capacity of a node, in thousandths of a core: one whole core.
 const DEFAULT_MILLICORES: u32 = 1_000;
-/// The descriptors of a process of which the settings say nothing.
+/// The default number of file descriptors.
 const DEFAULT_DESCRIPTORS: u32 = 4_096;
-/// The least that a node works with: files, callers, other nodes, and some workers.
-const LEAST_DESCRIPTORS: u32 = 256;
-/// The share of the descriptors that connections to workers may take, in percent.  The rest is
-/// for callers, other nodes, the store and files.
+/// The fewest file descriptors with which a node works: for files, callers, other nodes and a few
+/// workers.
+const MIN_DESCRIPTORS: u32 = 256;
+/// The share of the file descriptors that connections to workers may use, in percent.  The rest is
+/// left for callers, other nodes, the store and files.
 const WORKERS_PERCENT: u32 = 60;
-/// The most processors that a VM may be said to give, in cores.
-const MOST_CORES: f64 = 1_024.0;
+/// The greatest CPU capacity that the settings accept, in cores.
+const MAX_CORES: f64 = 1_024.0;
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// Fails if the file cannot be read, or with all faults that it has.
+    /// Fails if the file cannot be read; otherwise the error lists all faults found in it.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path).map_err(|source| Error::SettingsFile {
             path: path.to_owned(),
@@ -68,10 +69,10 @@
         Self::parse(&text, &path.display().to_string())
     }
 
-    /// Checks the text of a file called `file`.
+    /// Parses and checks the text of a settings file; `file` is its name for error messages.
     ///
     /// # Errors
-    /// Returns all faults at once.
+    /// The error lists all faults found in the text.
     pub fn parse(text: &str, file: &str) -> Result<Self> {
         let mut reader = Reader {
             file,
@@ -82,7 +83,7 @@
             Ok(ini) => reader.ini = ini,
             Err(err) => {
                 let detail = err.to_string();
-                reader.fault("", "", SettingsRule::Syntax { detail });
+                reader.report("", "", SettingsRule::Syntax { detail });
                 return Err(Error::Settings {
                     faults: reader.faults,
                 });
@@ -99,12 +100,13 @@
 }
 
 impl Settings {
-    /// How many connections to workers there may be.
+    /// Returns the most connections to workers that may be open at once.
     pub fn worker_connections(&self) -> usize {
         (self.descriptors * WORKERS_PERCENT / 100) as usize
     }
 }
 
+/// Reads values from the parsed file and collects the faults in them.
 struct Reader<'a> {
     file: &'a str,
     ini: Ini,
@@ -143,7 +145,8 @@
         })
     }
 
-    /// Unknown keys are faults: they are ours to know, and a misspelt one has no effect.
+    /// Reports unknown keys, repeated sections and missing keys.  An unknown key is a fault because
+    /// it may be a misspelt one, which would have no effect.
     fn check_keys(&mut self) {
         let mut unknown = Vec::new();
         let mut sections: Vec<String> = Vec::new();
@@ -163,33 +166,36 @@
                 }
             }
         }
-        // Only the first of two sections of one name would be read.
+        // Only the first of two sections with the same name would be read.
         for section in repeated {
             let reason = "the section stands there twice";
-            self.fault(&section, "", SettingsRule::Contradiction { reason });
+            self.report(&section, "", SettingsRule::Contradiction { reason });
         }
         for (section, key) in unknown {
-            self.fault(&section, &key, SettingsRule::UnknownKey);
+            self.report(&section, &key, SettingsRule::UnknownKey);
         }
         for key in KEYS {
             if key.required && self.text(key.section, key.name).is_none() {
-                self.fault(key.section, key.name, SettingsRule::Missing);
+                self.report(key.section, key.name, SettingsRule::Missing);
             }
         }
     }
 
+    /// Reports two addresses to listen on that are the same.  Port 0 stands for any free port, so
+    /// it may be given more than once.
     fn check_distinct(&mut self, addresses: &[Option<SocketAddr>]) {
         let given: Vec<SocketAddr> = addresses.iter().flatten().copied().collect();
-        let twice = given
+        let has_duplicate = given
             .iter()
             .enumerate()
             .any(|(place, address)| address.port() != 0 && given[..place].contains(address));
-        if twice {
+        if has_duplicate {
             let reason = "two of the addresses are the same";
-            self.fault("listen", "", SettingsRule::Contradiction { reason });
+            self.report("listen", "", SettingsRule::Contradiction { reason });
         }
     }
 
+    /// Returns the value of a key; none if the key is missing or its value empty.
     fn text(&self, section: &str, key: &str) -> Option<String> {
         self.ini
             .get_from(Some(section), key)
@@ -203,10 +209,10 @@
             return DEFAULT_MILLICORES;
         };
         match value.parse::<f64>() {
-            Ok(cores) if cores > 0.0 && cores <= MOST_CORES => (cores * 1_000.0).ceil() as u32,
+            Ok(cores) if cores > 0.0 && cores <= MAX_CORES => (cores * 1_000.0).ceil() as u32,
             _ => {
                 let expected = "a number of cores above 0 and up to 1024";
-                self.fault(section, key, SettingsRule::WrongType { value, expected });
+                self.report(section, key, SettingsRule::WrongType { value, expected });
                 DEFAULT_MILLICORES
             }
         }
@@ -218,10 +224,10 @@
             return DEFAULT_DESCRIPTORS;
         };
         match value.parse() {
-            Ok(descriptors) if descriptors >= LEAST_DESCRIPTORS => descriptors,
+            Ok(descriptors) if descriptors >= MIN_DESCRIPTORS => descriptors,
             _ => {
                 let expected = "a whole number of at least 256";
-                self.fault(section, key, SettingsRule::WrongType { value, expected });
+                self.report(section, key, SettingsRule::WrongType { value, expected });
                 DEFAULT_DESCRIPTORS
             }
         }
@@ -231,7 +237,7 @@
         let value = self.text(section, key)?;
         let address = value.parse().ok();
         if address.is_none() {
-            self.not_an_address(section, key, value);
+            self.report_invalid_address(section, key, value);
         }
         address
     }
@@ -251,18 +257,18 @@
         {
             match part.parse() {
                 Ok(address) => addresses.push(address),
-                Err(_) => self.not_an_address(section, key, part.to_owned()),
+                Err(_) => self.report_invalid_address(section, key, part.to_owned()),
             }
         }
         addresses
     }
 
-    fn not_an_address(&mut self, section: &str, key: &str, value: String) {
+    fn report_invalid_address(&mut self, section: &str, key: &str, value: String) {
         let expected = "an IP number and port";
-        self.fault(section, key, SettingsRule::WrongType { value, expected });
+        self.report(section, key, SettingsRule::WrongType { value, expected });
     }
 
-    fn fault(&mut self, section: &str, key: &str, rule: SettingsRule) {
+    fn report(&mut self, section: &str, key: &str, rule: SettingsRule) {
         self.faults.push(SettingsFault {
             file: self.file.to_owned(),
             section: section.to_owned(),
