--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -134,7 +134,7 @@
         body: Vec<u8>,
         timeout: Duration,
     ) -> Result<FullResponse, CallError> {
-        let (host, req) = request(method, url, headers, body)?;
+        let (host, req) = build_request(method, url, headers, body)?;
         let deadline = Instant::now() + timeout;
         let slot = tokio::time::timeout_at(deadline, self.pool.acquire_slot(&host)).await;
         let _slot = slot.map_err(|_| CallError::Busy)?;
@@ -174,7 +174,7 @@
             Some(_) => CallError::NotSent,
             None => CallError::Unanswered,
         })?;
-        let answer = read(response).await?;
+        let answer = read_response(response).await?;
         in_flight.answered = true;
         self.pool.put(host, connection);
         Ok(answer)
@@ -206,7 +206,7 @@
 }
 
 /// Builds a request, and returns it with the host and port to connect to.
-fn request(
+fn build_request(
     method: Method,
     url: &str,
     headers: &[(&'static str, String)],
@@ -248,7 +248,7 @@
     Ok(sender)
 }
 
-async fn read(response: Response<Incoming>) -> Result<FullResponse, CallError> {
+async fn read_response(response: Response<Incoming>) -> Result<FullResponse, CallError> {
     let (parts, body) = response.into_parts();
     let body = Limited::new(body, MAX_RESPONSE_BYTES)
         .collect()
@@ -381,6 +381,7 @@
 }
 
 impl Hosts {
+    /// Returns the pool of `host`; adds one with this number of call slots if there is none.
     fn host(&mut self, host: &str, slots: usize) -> &mut HostPool {
         if !self.by_name.contains_key(host) {
             let new = HostPool {
