--- a/src/keep_alive.rs
+++ b/src/keep_alive.rs
@@ -44,8 +44,8 @@
     let began = Instant::now();
     let stream = TcpStream::connect(addr).await?;
     let round_trip = began.elapsed().min(MAX_ROUND_TRIP);
-    let limit = ACK_TIMEOUT + ACK_ROUND_TRIPS * round_trip;
-    if let Err(err) = set_timeouts(&stream, limit, PROBE_IDLE_TIME) {
+    let ack_timeout = ACK_TIMEOUT + ACK_ROUND_TRIPS * round_trip;
+    if let Err(err) = set_timeouts(&stream, ack_timeout, PROBE_IDLE_TIME) {
         tracing::warn!(%err, "cannot set TCP timeouts; a silent connection will be detected late");
     }
     Ok(stream)
@@ -68,12 +68,12 @@
     set_timeouts(stream, CALLER_ACK_TIMEOUT, CALLER_PROBE_IDLE_TIME)
 }
 
-fn set_timeouts(stream: &TcpStream, ack: Duration, probe_after: Duration) -> io::Result<()> {
+fn set_timeouts(stream: &TcpStream, ack_timeout: Duration, idle_time: Duration) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
-        .with_time(probe_after)
+        .with_time(idle_time)
         .with_interval(PROBE_INTERVAL)
         .with_retries(MAX_UNANSWERED_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(ack))
+    socket.set_tcp_user_timeout(Some(ack_timeout))
 }
--- a/src/timeout.rs
+++ b/src/timeout.rs
@@ -3,8 +3,8 @@
 //! The runtime processes at most 1,024 ready sockets at a time, but all expired timers.  After a
 //! stall, calls would therefore time out although their answers are waiting unread in the sockets:
 //! 476 of 1,500 calls were lost that way (`tests/http_client.rs`).  The owner must not lose such an
-//! answer: the platform counts what a worker has listed as known to the owner, which would
-//! nevertheless treat the worker as silent and start its tasks elsewhere.
+//! answer: the platform counts what a worker has listed as known to the owner, but the owner would
+//! count the worker as silent, and start its tasks elsewhere when its lease has run out.
 
 use std::time::Duration;
 
