--- a/src/node/cleaning.rs
+++ b/src/node/cleaning.rs
@@ -10,7 +10,7 @@
 use crate::cell::spec::JobId;
 use crate::clock::Millis;
 use crate::node::engine::Engine;
-use crate::node::shared::PARTITION;
+use crate::node::shared::CELL_PARTITION;
 use crate::store::{Row, RowKey, StoreCall, StoreError, Table, Transaction};
 
 /// How often rows are deleted, in milliseconds: each time costs one call per partition in use.
@@ -84,7 +84,7 @@
             .iter()
             .take_while(|(since, _)| since + END_RETENTION <= now);
         let expired: Vec<JobId> = old.map(|(_, id)| *id).take(MAX_ROWS).collect();
-        match delete_rows(engine, Table::Progress, PARTITION, &expired).await {
+        match delete_rows(engine, Table::Progress, CELL_PARTITION, &expired).await {
             Ok(()) => {
                 self.ended.drain(..expired.len());
                 // A job of which something may still run is kept for another period.
--- a/src/node/confirming.rs
+++ b/src/node/confirming.rs
@@ -16,7 +16,7 @@
 use crate::node::members::Member;
 use crate::node::recording::{OWNER_KEY, OwnerRow};
 use crate::node::route;
-use crate::node::shared::PARTITION;
+use crate::node::shared::CELL_PARTITION;
 use crate::store::{StoreCall, StoreError, StoreReply, Table};
 
 /// How often the owner checks how long ago its ownership was confirmed.
@@ -178,7 +178,7 @@
 }
 
 fn read_owner_call() -> StoreCall {
-    StoreCall::row(Table::Cells, PARTITION, OWNER_KEY)
+    StoreCall::row(Table::Cells, CELL_PARTITION, OWNER_KEY)
 }
 
 fn response(reply: Result<StoreReply, StoreError>) -> Response {
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -21,7 +21,7 @@
 use crate::node::members::{self, Source};
 use crate::node::owner;
 use crate::node::recording::{OWNER_KEY, OwnerRow};
-use crate::node::shared::{NODES_PARTITION, PARTITION, Shared};
+use crate::node::shared::{CELL_PARTITION, NODES_PARTITION, Shared};
 use crate::rpc::node::{Heartbeat, NodeCall, NodeReply};
 use crate::store::{self, RowKey, StoreCall, StoreError, StoreReply, Table, Transaction, Version};
 
@@ -420,7 +420,7 @@
 /// row would start again at the first epoch, which workers refuse, and repeat run numbers that they
 /// have seen.
 async fn read_owner(shared: &Arc<Shared>) -> Option<(Version, Option<OwnerRow>)> {
-    let call = StoreCall::row(Table::Cells, PARTITION, OWNER_KEY);
+    let call = StoreCall::row(Table::Cells, CELL_PARTITION, OWNER_KEY);
     let Ok(StoreReply::Rows { rows, .. }) = shared.store(call).await else {
         return None;
     };
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -15,7 +15,7 @@
 use crate::node::intake::{Intake, SubmitOutcome};
 use crate::node::loading;
 use crate::node::owner_calls::{OWNER_TIMEOUT, ask_owner, notify_owner, serve_as_owner};
-use crate::node::shared::{PARTITION, Shared};
+use crate::node::shared::{CELL_PARTITION, Shared};
 use crate::queue::Queue;
 use crate::rpc::node::{JobRequest, NodeCall, NodeReply, NodeService};
 use crate::store::{StoreCall, StoreReply, Table};
@@ -237,7 +237,7 @@
     /// Reads a job's state from the store: first from the row of its progress, since finding the
     /// row of the job itself takes a call for each partition.
     async fn stored_state(&self, caller: &Caller, id: JobId) -> JobAnswer {
-        let progress = StoreCall::row(Table::Progress, PARTITION, &id.to_string());
+        let progress = StoreCall::row(Table::Progress, CELL_PARTITION, &id.to_string());
         let Ok(StoreReply::Rows { rows, .. }) = self.shared.store(progress).await else {
             return JobAnswer::Unavailable;
         };
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -11,7 +11,7 @@
 use crate::cell::worker::WorkerEntry;
 use crate::clock;
 use crate::node::roster_rows::RosterRows;
-use crate::node::shared::{JOB_PARTITIONS, PARTITION, Shared, job_partition};
+use crate::node::shared::{CELL_PARTITION, JOB_PARTITIONS, Shared, job_partition};
 use crate::node::{halls, recording};
 use crate::store::{Row, StoreCall, StoreError, StoreReply, Table, Version};
 
@@ -72,7 +72,7 @@
     let ends = bounds.iter().cloned().chain(std::iter::once(String::new()));
     let pieces = starts
         .zip(ends)
-        .map(|(from, until)| list_range(shared, Table::Progress, PARTITION, from, until));
+        .map(|(from, until)| list_range(shared, Table::Progress, CELL_PARTITION, from, until));
     let mut rows = Vec::new();
     for piece in join_all(pieces).await {
         rows.extend(piece?.0);
@@ -128,7 +128,7 @@
 /// See [`StoreError`].
 pub async fn load(shared: &Arc<Shared>, epoch: u64) -> Result<LoadedCell, StoreError> {
     let (former, progress, jobs, halls) = tokio::join!(
-        list(shared, Table::Cells, PARTITION),
+        list(shared, Table::Cells, CELL_PARTITION),
         list_progress(shared),
         list_jobs(shared),
         halls::read(shared),
--- a/src/node/policy.rs
+++ b/src/node/policy.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::node::engine::Engine;
-use crate::node::shared::{PARTITION, Shared};
+use crate::node::shared::{CELL_PARTITION, Shared};
 use crate::policy::{Policy, Program, ProgramPolicy};
 use crate::store::{self, RowKey, StoreCall, StoreError, StoreReply, Table, Transaction, Version};
 
@@ -48,7 +48,7 @@
 /// # Errors
 /// See [`StoreError`]; [`StoreError::Malformed`] also if the row cannot be parsed.
 pub async fn read(shared: &Arc<Shared>) -> Result<(Version, PolicyRow), StoreError> {
-    let call = StoreCall::row(Table::Cells, PARTITION, ROW_KEY);
+    let call = StoreCall::row(Table::Cells, CELL_PARTITION, ROW_KEY);
     let StoreReply::Rows { rows, .. } = shared.store(call).await? else {
         return Err(StoreError::Malformed);
     };
@@ -66,7 +66,7 @@
 
 /// Sets a policy if `expected` is the version in force.
 pub async fn set(shared: &Arc<Shared>, row: &PolicyRow, expected: Version) -> Change {
-    let key = RowKey::new(Table::Cells, PARTITION, ROW_KEY);
+    let key = RowKey::new(Table::Cells, CELL_PARTITION, ROW_KEY);
     let mut tx = Transaction::default();
     tx.expected.push((key.clone(), expected));
     tx.puts.push((key, store::encode(row)));
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -14,7 +14,7 @@
 use crate::cell::record::Batch;
 use crate::node::engine::Engine;
 use crate::node::roster_rows::RosterWrite;
-use crate::node::shared::PARTITION;
+use crate::node::shared::CELL_PARTITION;
 use crate::store::{self, Row, RowKey, StoreCall, StoreError, StoreReply, Table, Transaction};
 
 /// The key of the ownership row.
@@ -78,7 +78,7 @@
 
     /// The key of the row.
     pub fn key() -> RowKey {
-        RowKey::new(Table::Cells, PARTITION, OWNER_KEY)
+        RowKey::new(Table::Cells, CELL_PARTITION, OWNER_KEY)
     }
 }
 
@@ -268,7 +268,7 @@
             let id = id.to_string();
             let value = store::encode(progress);
             tx.puts
-                .push((RowKey::new(Table::Progress, PARTITION, &id), value));
+                .push((RowKey::new(Table::Progress, CELL_PARTITION, &id), value));
         }
         tx
     }
@@ -305,7 +305,7 @@
 }
 
 fn remaining_leases_key() -> RowKey {
-    RowKey::new(Table::Cells, PARTITION, REMAINING_LEASES_KEY)
+    RowKey::new(Table::Cells, CELL_PARTITION, REMAINING_LEASES_KEY)
 }
 
 /// Why a transaction met a newer version of the ownership row.
--- a/src/node/roster_rows.rs
+++ b/src/node/roster_rows.rs
@@ -16,7 +16,7 @@
 
 use crate::cell::lost::LostLife;
 use crate::cell::roster::{RosterChange, RosterEntry};
-use crate::node::shared::PARTITION;
+use crate::node::shared::CELL_PARTITION;
 use crate::store::{self, Row, RowKey, Table};
 
 /// A row longer than this is split.  The store accepts 64 KB, and each change rewrites a whole row.
@@ -71,7 +71,7 @@
         let bits = self.bits >> (64 - width);
         RowKey::new(
             Table::Cells,
-            PARTITION,
+            CELL_PARTITION,
             &format!("{KEY_PREFIX}{bits:0width$b}"),
         )
     }
@@ -306,7 +306,7 @@
         }
         let left = most_rows - write.rows();
         let obsolete = self.obsolete.iter().take(left);
-        let drops = obsolete.map(|key| RowKey::new(Table::Cells, PARTITION, key));
+        let drops = obsolete.map(|key| RowKey::new(Table::Cells, CELL_PARTITION, key));
         write.drops.extend(drops);
         write
     }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -21,7 +21,7 @@
 
 /// The partition of the cell's own rows.  Each cell has its own partition, and there is one cell so
 /// far.
-pub const PARTITION: &str = "c0";
+pub const CELL_PARTITION: &str = "c0";
 
 /// The partition of the rows in which nodes publish their addresses.  It is not the cell's: there,
 /// the writes of 45 nodes that restart while the store is 77 times slower would delay the owner's
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -38,7 +38,7 @@
 use crossweir::node::election;
 use crossweir::node::engine::Engine;
 use crossweir::node::links::Workers;
-use crossweir::node::shared::{PARTITION, job_partition};
+use crossweir::node::shared::{CELL_PARTITION, job_partition};
 use crossweir::store::{RowKey, Store, StoreCall, StoreReply, Table, Transaction, encode};
 use futures::FutureExt;
 use futures::future::BoxFuture;
@@ -144,7 +144,7 @@
 }
 
 async fn is_recorded(node: &VirtualNode, row: &JobRow) -> bool {
-    let call = StoreCall::row(Table::Progress, PARTITION, &row.id.to_string());
+    let call = StoreCall::row(Table::Progress, CELL_PARTITION, &row.id.to_string());
     match node.store.call(call).await {
         Ok(StoreReply::Rows { rows, .. }) => !rows.is_empty(),
         other => panic!("not read: {other:?}"),
--- a/tests/roster_rows.rs
+++ b/tests/roster_rows.rs
@@ -7,7 +7,7 @@
 use crossweir::cell::spec::JobId;
 use crossweir::embedded::store::{MOST_ROW_BYTES, MemoryStore};
 use crossweir::node::roster_rows::RosterRows;
-use crossweir::node::shared::PARTITION;
+use crossweir::node::shared::CELL_PARTITION;
 use crossweir::store::{
     Row, RowKey, Store, StoreCall, StoreError, StoreReply, Table, Transaction, encode,
 };
@@ -77,7 +77,7 @@
 async fn stored(store: &MemoryStore) -> Vec<Row> {
     let call = StoreCall::List {
         table: Table::Cells,
-        partition: PARTITION.to_owned(),
+        partition: CELL_PARTITION.to_owned(),
         from: String::new(),
         until: String::new(),
         limit: 500,
@@ -219,7 +219,7 @@
     let entries = entries(48, None);
     let mut tx = Transaction::default();
     for (place, part) in entries.chunks(3).enumerate() {
-        let key = RowKey::new(Table::Cells, PARTITION, &format!("workers-{place:02}"));
+        let key = RowKey::new(Table::Cells, CELL_PARTITION, &format!("workers-{place:02}"));
         tx.puts.push((key, encode(&part)));
     }
     store.commit(&tx);
@@ -274,7 +274,7 @@
 #[tokio::test]
 async fn a_store_in_memory_rejects_what_the_platform_rejects() {
     let store = MemoryStore::default();
-    let key = crossweir::store::RowKey::new(Table::Cells, PARTITION, "long");
+    let key = crossweir::store::RowKey::new(Table::Cells, CELL_PARTITION, "long");
     let mut tx = Transaction::default();
     tx.puts.push((key, "x".repeat(MOST_ROW_BYTES + 1)));
 
@@ -290,7 +290,7 @@
         "capacity":{"millicores":16000,"memory":32768,"gpus":0},"labels":["a","r0"],"rack":"r0",
         "leaving":null,"jobs":null}]"#;
     let row = Row {
-        partition: PARTITION.to_owned(),
+        partition: CELL_PARTITION.to_owned(),
         key: String::from("workers-00"),
         value: text.to_owned(),
         version: 1,
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -19,7 +19,7 @@
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::engine::Engine;
 use crossweir::node::links::Workers;
-use crossweir::node::shared::PARTITION;
+use crossweir::node::shared::CELL_PARTITION;
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use futures::future::BoxFuture;
 use tokio::time::Instant;
@@ -127,7 +127,7 @@
     let mut tx = Transaction::default();
     for id in 0..ENDED {
         let key = format!("{:016x}", id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let key = RowKey::new(Table::Progress, PARTITION, &key);
+        let key = RowKey::new(Table::Progress, CELL_PARTITION, &key);
         tx.puts.push((key, encode(&progress)));
     }
     node.store.commit(&tx);
