--- a/tests/cancelling.rs
+++ b/tests/cancelling.rs
@@ -28,7 +28,7 @@
 /// What the owner stops when the first worker lists these runs.
 fn stops_after_look(bench: &mut Bench, running: Vec<RunningEntry>) -> Vec<StopOrder> {
     let worker = bench.worker(0);
-    bench.hear_of(worker, running, Vec::new());
+    bench.poll_with_lists(worker, running, Vec::new());
     bench.cell.tick(bench.now);
     stops(&bench.cell.take_orders())
 }
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -115,7 +115,7 @@
         .copied()
         .expect("a run");
     bench.end(task.0, task.1, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     let alone = bench.start_all();
 
     // Assert
@@ -148,11 +148,11 @@
     bench
         .cell
         .start_answered(start.run, StartOutcome::Unanswered, None, bench.now);
-    bench.look_at_all();
+    bench.poll_all();
     let before = starts(&bench.decide());
     bench.now += tuning::START_VALIDITY + tuning::LEASE_MARGIN + 100;
-    bench.look_at_all();
-    bench.look_at_all();
+    bench.poll_all();
+    bench.poll_all();
     let after = starts(&bench.decide());
 
     // Assert
@@ -175,7 +175,7 @@
     assert_eq!(stops(&bench.cell.take_orders()).len(), 1);
     let before = starts(&bench.decide());
     bench.end(start.task, start.number, EndKind::Stopped);
-    bench.look_at_all();
+    bench.poll_all();
     let after = starts(&bench.decide());
 
     // Assert
@@ -204,7 +204,7 @@
             .map(|number| bench.worker(number))
             .filter(|&key| key != lost);
         for key in others.collect::<Vec<_>>() {
-            bench.look_at(key);
+            bench.poll(key);
         }
     }
     let after = starts(&bench.decide());
@@ -240,7 +240,7 @@
             ..PollReport::default()
         };
         let key = bench.worker(number);
-        bench.hear(key, &look);
+        bench.poll_with_report(key, &look);
     }
     bench.pass(10);
     bench.accept(&owned(2, team, vec![step(4, 8_000)]));
@@ -362,7 +362,7 @@
                 bench.end(task, number, EndKind::Done);
             }
         }
-        bench.look_at_all();
+        bench.poll_all();
     }
 
     // Assert
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -27,14 +27,14 @@
     let first = bench.start_all();
     assert_eq!(first.len(), 2);
     bench.end(first[0].task, first[0].number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     assert!(bench.start_all().is_empty(), "the first step is not done");
     bench.end(first[1].task, first[1].number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     let last = bench.start_all();
     assert_eq!(last.len(), 1);
     bench.end(last[0].task, last[0].number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     assert_eq!(bench.state(1), Some(JobState::Running), "not recorded yet");
     bench.record();
     assert_eq!(bench.state(1), Some(JobState::Succeeded));
@@ -66,12 +66,12 @@
     for _ in 0..50 {
         bench.pass(100);
         let other = (0..2).map(|n| bench.worker(n)).find(|&key| key != lost);
-        bench.look_at(other.expect("another worker"));
+        bench.poll(other.expect("another worker"));
     }
     let second = bench.start_all().remove(0);
     bench.end(second.task, second.number, EndKind::Failed);
-    bench.look_at(second.to.worker);
-    bench.look_at(lost);
+    bench.poll(second.to.worker);
+    bench.poll(lost);
     assert!(bench.start_all().is_empty(), "both attempts have failed");
     bench.record();
     assert_eq!(bench.state(1), Some(JobState::Failed));
@@ -88,10 +88,10 @@
         .start_answered(order.run, StartOutcome::Unanswered, None, bench.now);
     let stop = stops(&bench.cell.take_orders()).remove(0);
     assert_eq!((stop.task, stop.number), (order.task, order.number));
-    bench.look_at_all();
+    bench.poll_all();
     assert!(bench.start_all().is_empty(), "it may still begin");
     bench.cell.stop_confirmed(order.run);
-    bench.look_at_all();
+    bench.poll_all();
     let again = bench.start_all().remove(0);
     assert!(again.number > order.number);
 }
@@ -102,7 +102,7 @@
     let mut started = Vec::new();
     while started.is_empty() && bench.now < until {
         bench.pass(50);
-        bench.look_at(other);
+        bench.poll(other);
         started = bench.start_all();
     }
     started
@@ -115,7 +115,7 @@
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     let order = bench.start_all().remove(0);
     let lost = order.to.worker;
-    bench.look_at_all();
+    bench.poll_all();
     let began = bench.now;
     let other = (0..2).map(|n| bench.worker(n)).find(|&key| key != lost);
     let other = other.expect("another worker");
@@ -162,7 +162,7 @@
     assert_eq!(members.len(), 8);
     assert!(members.iter().all(|m| m.number == members[0].number));
     bench.end(members[3].task, members[3].number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     bench.record();
     assert_eq!(
         bench.state(2),
@@ -186,7 +186,7 @@
         bench.end(order.task, order.number, EndKind::Done);
     }
     bench.pass(2_600);
-    bench.look_at_all();
+    bench.poll_all();
     let orders = bench.decide();
     assert!(starts(&orders).is_empty(), "the ticket is too old");
     assert_eq!(questions(&orders)[0].workers[0].1, question.workers[0].1);
@@ -251,16 +251,16 @@
         clock: next.now,
         ..Default::default()
     };
-    next.hear(keys[0], &look);
-    next.hear(keys[1], &empty);
+    next.poll_with_report(keys[0], &look);
+    next.poll_with_report(keys[1], &empty);
     next.pass(0);
     assert!(
         starts(&next.decide()).is_empty(),
         "the other may run on the silent worker"
     );
     next.now += 6_000;
-    next.hear(keys[0], &look);
-    next.hear(keys[1], &empty);
+    next.poll_with_report(keys[0], &look);
+    next.poll_with_report(keys[1], &empty);
     next.pass(0);
     let late = starts(&next.decide());
     assert_eq!(late.len(), 1, "only the one that was not found");
@@ -276,7 +276,7 @@
     assert_eq!(bench.start_all().len(), 4, "the one worker is full");
     bench.cell.list_worker(cell_core::worker(1), bench.now);
     let key = bench.cell.worker_keys()[1];
-    bench.hear(key, &Default::default());
+    bench.poll_with_report(key, &Default::default());
     bench.cell.tick(bench.now);
     let (version, roster) = bench.cell.roster();
     assert_eq!(roster.len(), 2);
@@ -350,7 +350,7 @@
     bench.cell.cancel(JobId(9));
     gang_of_eight(&mut bench, &q);
     assert!(starts(&bench.decide()).is_empty(), "not one member");
-    bench.look_at_all();
+    bench.poll_all();
     assert_eq!(starts(&bench.decide()).len(), 8);
 }
 
@@ -372,11 +372,11 @@
     let mut bench = Bench::new(3, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step]));
     let order = bench.start_all().remove(0);
-    bench.still.insert(order.to.worker, 5);
-    bench.look_at_all();
+    bench.fixed_percent.insert(order.to.worker, 5);
+    bench.poll_all();
     for _ in 0..5 {
         bench.pass(100);
-        bench.look_at_all();
+        bench.poll_all();
     }
     (bench, order)
 }
@@ -387,7 +387,7 @@
     let stop = stops(&bench.decide()).remove(0);
     assert_eq!((stop.task, stop.number), (order.task, order.number));
     bench.end(order.task, order.number, EndKind::Stopped);
-    bench.look_at_all();
+    bench.poll_all();
     let again = bench.start_all().remove(0);
     assert_eq!(again.task, order.task);
     assert_ne!(again.to.worker, order.to.worker);
@@ -406,7 +406,7 @@
     assert_eq!(copy.task, order.task);
     bench.start(&copy);
     bench.end(copy.task, copy.number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     let stop = stops(&bench.decide()).remove(0);
     assert_eq!(
         stop.number, order.number,
@@ -451,7 +451,7 @@
     bench.start_all();
     for _ in 0..9 {
         bench.pass(100);
-        bench.look_at_all();
+        bench.poll_all();
     }
     assert!(stops(&bench.decide()).is_empty());
 }
@@ -482,7 +482,7 @@
     for order in &orders {
         bench.end(order.task, order.number, EndKind::Done);
     }
-    bench.look_at_all();
+    bench.poll_all();
     bench.record();
     assert_eq!(bench.state(1), Some(JobState::Succeeded));
 }
@@ -495,7 +495,7 @@
     former.accept(&timed_job(&q));
     let second = former.start_all().remove(1);
     former.end(second.task, second.number, EndKind::Done);
-    former.look_at_all();
+    former.poll_all();
     let progress = former.record().rows.remove(0).2;
     let mut next = Bench::under(2, 1, std::slice::from_ref(&q));
     next.cell.set_wall_clock(11_000);
@@ -512,7 +512,7 @@
     bench.accept(&job(1, q, vec![step(1, 1_000)]));
     let start = bench.start_all().remove(0);
     bench.end(start.task, start.number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     bench
 }
 
@@ -609,7 +609,7 @@
 
     // Act: it answers again, and another job comes.
     bench.now += 10;
-    bench.look_at(silent);
+    bench.poll(silent);
     bench.accept(&job(2, &q, vec![step(1, 1_000)]));
     bench.cell.tick(bench.now);
     let before = bench.start_all().len();
@@ -639,7 +639,7 @@
     // Act.
     let lost = bench.worker(1);
     let reached = bench.worker(0);
-    bench.look_at(reached);
+    bench.poll(reached);
     bench
         .cell
         .poll_failed(lost, PollFailure::Unanswered, bench.now);
@@ -647,7 +647,7 @@
     let early = bench.start_all();
     let (_, passed_on) = bench.cell.roster();
     bench.pass(6_000);
-    bench.look_at(reached);
+    bench.poll(reached);
     let late = bench.start_all();
 
     // Assert.
@@ -676,7 +676,7 @@
 
     // Act.
     bench.end(start.task, start.number, EndKind::Stopped);
-    bench.look_at_all();
+    bench.poll_all();
     let over = bench.cell.forget_job(JobId(1));
 
     // Assert.
@@ -702,7 +702,7 @@
     let second = bench.start_all();
     for _ in 0..30 {
         bench.pass(100);
-        bench.look_at_all();
+        bench.poll_all();
     }
     bench.accept(&job(3, &q, vec![step(1, 8_000)]));
     let third = bench.start_all();
@@ -738,7 +738,7 @@
         ended: Vec::new(),
     };
     bench.end(start.task, start.number, EndKind::Stopped);
-    bench.look_at_all();
+    bench.poll_all();
 
     // Act.
     bench.cell.poll_answered(&order, &overtaken, bench.now);
@@ -755,7 +755,7 @@
     bench.accept(&job(1, &q, vec![step(2, 1_000)]));
     let first = bench.start_all().remove(0);
     bench.end(first.task, first.number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     let batch = bench.cell.take_batch(1);
     assert_eq!(batch.rows[0].2.tasks.len(), 1);
 
@@ -792,14 +792,14 @@
     };
 
     // Act.
-    bench.hear(worker, &look);
+    bench.poll_with_report(worker, &look);
     bench.record();
     let forgotten = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
     bench.cell.accept(&row, None, true, bench.now);
     bench.cell.set_has_unread_jobs(false);
     bench.now += 10;
     look.clock = bench.now;
-    bench.hear(worker, &look);
+    bench.poll_with_report(worker, &look);
     let started = starts(&bench.decide());
 
     // Assert.
@@ -816,14 +816,14 @@
     let worker = bench.worker(0);
     let task = "0000000000000007.0.0.0".parse().expect("a task");
     bench.running.insert(worker, vec![(task, 5)]);
-    bench.look_at_all();
+    bench.poll_all();
 
     // Act: the row is read, and only then the worker is looked at again.
     let row = job(7, &q, vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
     bench.cell.set_has_unread_jobs(false);
     let before = starts(&bench.decide());
-    bench.look_at_all();
+    bench.poll_all();
     let after = starts(&bench.decide());
 
     // Assert.
@@ -847,7 +847,7 @@
     let (lost, other) = (bench.worker(0), bench.worker(1));
     let task = "0000000000000001.0.0.0".parse().expect("a task");
     bench.running.insert(lost, vec![(task, 5)]);
-    bench.look_at_all();
+    bench.poll_all();
     let began = bench.now;
     bench
         .cell
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -134,7 +134,7 @@
 }
 
 /// A question about a job, by whoever has no key.
-pub fn question(id: u64) -> JobRequest {
+pub fn job_request(id: u64) -> JobRequest {
     JobRequest {
         job: JobId(id),
         caller: Caller::Anonymous,
@@ -172,7 +172,7 @@
     /// What runs, by worker.
     pub running: BTreeMap<WorkerKey, Vec<(TaskName, u64)>>,
     /// Work done by workers that stand still, in hundredths; others are as far as time.
-    pub still: BTreeMap<WorkerKey, u32>,
+    pub fixed_percent: BTreeMap<WorkerKey, u32>,
     ends: BTreeMap<WorkerKey, Vec<EndEntry>>,
     keys: Vec<WorkerKey>,
 }
@@ -189,7 +189,7 @@
         cell.set_lanes(&[true, true]);
         cell.list_workers((0..workers).map(worker).collect(), 1_000);
         let mut bench = Self::with(cell, 1_000);
-        bench.look_at_all();
+        bench.poll_all();
         bench.cell.tick(bench.now);
         bench.cell.mark_roster_recorded(bench.cell.roster_version());
         bench
@@ -201,7 +201,7 @@
         Self {
             cell,
             now,
-            still: BTreeMap::new(),
+            fixed_percent: BTreeMap::new(),
             running: keys.iter().map(|&key| (key, Vec::new())).collect(),
             ends: keys.iter().map(|&key| (key, Vec::new())).collect(),
             keys,
@@ -274,9 +274,9 @@
     }
 
     /// Looks at one worker.  Work goes on by a hundredth each 10 ms.
-    pub fn look_at(&mut self, key: WorkerKey) {
+    pub fn poll(&mut self, key: WorkerKey) {
         let moving = (self.now / 10 % 100) as u32;
-        let percent = self.still.get(&key).copied().unwrap_or(moving);
+        let percent = self.fixed_percent.get(&key).copied().unwrap_or(moving);
         let running = self.running[&key]
             .iter()
             .map(|&(task, number)| RunningEntry {
@@ -292,18 +292,23 @@
             running: running.collect(),
             ended: self.ends[&key].clone(),
         };
-        self.hear(key, &look);
+        self.poll_with_report(key, &look);
     }
 
     /// Looks at one worker, which answers at once.
-    pub fn hear(&mut self, key: WorkerKey, look: &PollReport) {
+    pub fn poll_with_report(&mut self, key: WorkerKey, look: &PollReport) {
         let order = self.cell.poll_order(key, self.now);
         let order = order.expect("a known worker");
         self.cell.poll_answered(&order, look, self.now);
     }
 
     /// Looks at one worker a moment later, which lists this.
-    pub fn hear_of(&mut self, key: WorkerKey, running: Vec<RunningEntry>, ended: Vec<EndEntry>) {
+    pub fn poll_with_lists(
+        &mut self,
+        key: WorkerKey,
+        running: Vec<RunningEntry>,
+        ended: Vec<EndEntry>,
+    ) {
         self.now += 10;
         let look = PollReport {
             born: None,
@@ -311,14 +316,14 @@
             running,
             ended,
         };
-        self.hear(key, &look);
+        self.poll_with_report(key, &look);
     }
 
     /// Looks at all workers, a moment later.
-    pub fn look_at_all(&mut self) {
+    pub fn poll_all(&mut self) {
         self.now += 10;
         for key in self.keys.clone() {
-            self.look_at(key);
+            self.poll(key);
         }
     }
 
--- a/tests/cleaning.rs
+++ b/tests/cleaning.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cell_core::{job, question, queue, step};
+use cell_core::{job, job_request, queue, step};
 use crossweir::cell::spec::JobId;
 use crossweir::node::engine::Engine;
 use crossweir::store::{RowKey, Store, StoreCall, StoreReply, Table, Transaction, encode};
@@ -46,7 +46,7 @@
     let engine = owner_of_one_job(&node).await;
 
     // Act.
-    engine.cancel(&question(1)).await;
+    engine.cancel(&job_request(1)).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
     let soon = (
         count(&node, Table::Jobs, "j0").await,
@@ -69,7 +69,7 @@
     // Arrange.
     let node = virtual_node(&[]);
     let former = owner_of_one_job(&node).await;
-    former.cancel(&question(1)).await;
+    former.cancel(&job_request(1)).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
     former.retire("the test goes on with another");
 
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -240,7 +240,7 @@
         running: Vec::new(),
         ended: strange_ends(ENDS_AT_ONCE),
     };
-    bench.hear(worker, &look);
+    bench.poll_with_report(worker, &look);
 
     // Assert: its end may be the next one.
     assert!(starts(&bench.decide()).is_empty(), "it may be done");
@@ -306,8 +306,8 @@
     let (runs, other) = (bench.worker(0), bench.worker(1));
     let task = "0000000000000001.0.0.0".parse().expect("a task");
     bench.running.insert(runs, vec![(task, 1)]);
-    bench.look_at(runs);
-    bench.look_at(other);
+    bench.poll(runs);
+    bench.poll(other);
     assert_eq!(bench.cell.counts().adopted, 1);
 
     // Act: the next call to it brings no answer.
@@ -315,10 +315,10 @@
         .cell
         .poll_failed(runs, PollFailure::Unanswered, bench.now);
     bench.pass(100);
-    bench.look_at(other);
+    bench.poll(other);
     let early = starts(&bench.decide());
     bench.pass(4_000);
-    bench.look_at(other);
+    bench.poll(other);
     let late = starts(&bench.decide());
 
     // Assert: its run goes on for as long as the former owner's lease.
--- a/tests/evacuated_halls.rs
+++ b/tests/evacuated_halls.rs
@@ -47,7 +47,7 @@
     cell.set_lanes(&[true]);
     cell.list_workers((0..workers).map(worker_in_its_hall).collect(), 1_000);
     let mut bench = Bench::with(cell, 1_000);
-    bench.look_at_all();
+    bench.poll_all();
     bench.pass(0);
     bench
 }
@@ -93,7 +93,7 @@
     bench.start_all();
 
     bench.cell.set_evacuated_halls(&halls(&[NORTH, SOUTH]));
-    bench.look_at_all();
+    bench.poll_all();
     bench.pass(50);
 
     assert!(stops(&bench.decide()).is_empty());
@@ -115,7 +115,7 @@
     for start in &started {
         bench.end(start.task, start.number, EndKind::Failed);
     }
-    bench.look_at_all();
+    bench.poll_all();
     let again = bench.start_all();
 
     // Assert
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -42,8 +42,8 @@
         running: vec![entry],
         ended: Vec::new(),
     };
-    bench.hear(silent, &look);
-    bench.look_at(other);
+    bench.poll_with_report(silent, &look);
+    bench.poll(other);
     let heard = bench.now;
     bench.pass(10);
     bench.accept(&job(8, &q, vec![step(1, 1_000)]));
@@ -71,7 +71,7 @@
     while bench.now + 100 < heard + tuning::LEASE {
         bench.pass(100);
         let other = bench.worker(1);
-        bench.look_at(other);
+        bench.poll(other);
         started.extend(starts(&bench.decide()));
         started.retain(|start| start.task.step.job == JobId(7));
     }
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -119,7 +119,7 @@
     bench.accept(&job(8, &q, vec![step(1, 1_000)]));
     let mut meanwhile = 0;
     for _ in 0..10 {
-        bench.look_at_all();
+        bench.poll_all();
         bench.pass(500);
         meanwhile += starts(&bench.decide()).len();
     }
--- a/tests/full_lists.rs
+++ b/tests/full_lists.rs
@@ -32,7 +32,7 @@
             listed_end(place + 1, &task, 2_000_500 + place, EndKind::Done)
         })
         .collect();
-    bench.hear_of(key, Vec::new(), ends);
+    bench.poll_with_lists(key, Vec::new(), ends);
     let on_other = started.iter().find(|start| start.to.worker == other);
     let on_other = on_other.expect("a start there");
     let end = listed_end(
@@ -41,7 +41,7 @@
         on_other.number,
         EndKind::Done,
     );
-    bench.hear_of(other, Vec::new(), vec![end]);
+    bench.poll_with_lists(other, Vec::new(), vec![end]);
     bench.pass(20);
 
     let again = starts(&bench.decide());
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -396,7 +396,7 @@
     let told = bench.cell.seal_silent(bench.now);
 
     // Act: the worker answers again.
-    bench.look_at_all();
+    bench.poll_all();
     bench.pass(10);
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     let started = starts(&bench.decide());
@@ -431,7 +431,7 @@
         let mut bench = Bench::with(cell, 1_000);
         let other = bench.worker(1);
         bench.pass(500);
-        bench.look_at(other);
+        bench.poll(other);
         bench.pass(10);
         starts(&bench.decide()).len()
     };
--- a/tests/late_entries.rs
+++ b/tests/late_entries.rs
@@ -43,7 +43,7 @@
     let mut cell = Cell::new(16, configuration(std::slice::from_ref(q)), 1_000);
     cell.list_workers(vec![life(id), worker(1)], 1_000);
     let mut bench = Bench::with(cell, 1_000);
-    bench.look_at_all();
+    bench.poll_all();
     bench.pass(10);
     bench
 }
@@ -102,7 +102,7 @@
     cell.restore_roster(roster.to_vec(), 1_000);
     cell.list_workers(vec![life("present"), worker(1)], 1_000);
     let mut bench = Bench::with(cell, 1_000);
-    bench.look_at_all();
+    bench.poll_all();
     bench.pass(10);
     run_on_both(&mut bench, q);
     bench
--- a/tests/leaving_ends.rs
+++ b/tests/leaving_ends.rs
@@ -22,7 +22,7 @@
     let first = started.remove(0);
     let second = started.remove(0);
     bench.end(first.task, first.number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     bench.end(second.task, second.number, EndKind::Done);
     (bench, first)
 }
@@ -44,7 +44,7 @@
     leave(&mut bench, &first);
 
     // Act
-    bench.look_at_all();
+    bench.poll_all();
     let early = bench.cell.unrecorded_job_ends();
     bench.record();
 
@@ -56,7 +56,7 @@
 #[test]
 fn an_end_on_a_worker_that_is_silent_is_not_told_early() {
     let (mut bench, first) = half_done();
-    bench.look_at_all();
+    bench.poll_all();
     bench
         .cell
         .poll_failed(first.to.worker, PollFailure::Unanswered, bench.now);
@@ -69,7 +69,7 @@
 fn an_end_that_was_shown_is_told_until_it_is_recorded() {
     // Arrange
     let (mut bench, first) = half_done();
-    bench.look_at_all();
+    bench.poll_all();
     let shown = bench.cell.unrecorded_job_ends();
     bench.cell.mark_ends_known_to_peer(&shown);
     assert_eq!(bench.state(1), Some(JobState::Succeeded));
@@ -94,7 +94,7 @@
     leave(&mut bench, &first);
 
     // Act
-    bench.look_at_all();
+    bench.poll_all();
 
     // Assert
     assert_eq!(
--- a/tests/listed_lives.rs
+++ b/tests/listed_lives.rs
@@ -73,7 +73,7 @@
     // Act: the second worker answers, the first does not yet.
     bench.pass(10);
     let second = key_of(&mut bench, "w1").expect("it is listed");
-    bench.look_at(second);
+    bench.poll(second);
     bench.pass(10);
 
     // Assert: the first may run the task.
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -26,18 +26,18 @@
 
 const TICK: Millis = 10;
 /// The Unix time at the site's start, in ms.
-pub const EPOCH: Millis = 1_700_000_000_000;
+pub const UNIX_START: Millis = 1_700_000_000_000;
 
 /// One life of a worker, with a clock that began at its start.  All times are the site's.
-pub struct Alive {
+pub struct WorkerLife {
     /// What runs there.
     pub memory: MemoryWorker,
     began: Millis,
 }
 
-impl Alive {
+impl WorkerLife {
     /// A life whose clock began at `began`.
-    pub fn since(began: Millis, memory: MemoryWorker) -> Self {
+    pub fn begun_at(began: Millis, memory: MemoryWorker) -> Self {
         Self { memory, began }
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Answers a look.
-    pub fn look(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
+    pub fn poll(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
         self.memory.look(order, now - self.began)
     }
 
@@ -99,10 +99,10 @@
     /// What the platform lists.
     pub entries: Vec<WorkerEntry>,
     /// The present life of each worker; none while it is down.
-    pub alive: BTreeMap<String, Alive>,
+    pub alive: BTreeMap<String, WorkerLife>,
     /// The store takes what is recorded.
     pub store_is_up: bool,
-    over: Vec<Alive>,
+    over: Vec<WorkerLife>,
     epoch: u64,
     jobs: u64,
     rows: BTreeMap<JobId, JobRow>,
@@ -171,8 +171,8 @@
     /// The next life of a worker starts, under the same id.  The platform does not list it yet.
     pub fn begin_life(&mut self, place: usize) {
         let life = &mut self.entries[place].life;
-        life.born = Some(EPOCH + self.now);
-        let alive = Alive::since(self.now, MemoryWorker::born_at(EPOCH + self.now));
+        life.born = Some(UNIX_START + self.now);
+        let alive = WorkerLife::begun_at(self.now, MemoryWorker::born_at(UNIX_START + self.now));
         self.alive.insert(life.id.clone(), alive);
     }
 
@@ -183,22 +183,22 @@
     }
 
     /// A worker goes on but is heard by nobody, and the platform drops its entry.
-    pub fn cut_off(&mut self, place: usize) -> Alive {
+    pub fn cut_off(&mut self, place: usize) -> WorkerLife {
         let id = &self.entries[place].life.id;
         self.cell.unlist_worker(id, self.now);
         self.alive.remove(id).expect("a worker that is up")
     }
 
     /// A worker that was cut off is heard and listed again.
-    pub fn heal(&mut self, place: usize, alive: Alive) {
+    pub fn reconnect(&mut self, place: usize, alive: WorkerLife) {
         let id = self.entries[place].life.id.clone();
         self.alive.insert(id, alive);
         self.list(place);
     }
 
     /// How many tasks of a job go on.
-    pub fn going(&mut self, id: JobId) -> usize {
-        let runs = self.ran();
+    pub fn count_running(&mut self, id: JobId) -> usize {
+        let runs = self.runs_by_task();
         let of_job = runs.iter().filter(|(task, _)| task.step.job == id);
         of_job
             .flat_map(|(_, runs)| runs)
@@ -219,26 +219,26 @@
         let until = self.now + time;
         while self.now < until {
             self.now += TICK;
-            self.look_at_all();
+            self.poll_all();
             self.decide();
             self.record();
         }
     }
 
     /// Looks at all workers, which answer at once.
-    pub fn look_at_all(&mut self) {
+    pub fn poll_all(&mut self) {
         for key in self.cell.worker_keys() {
             if let Some(order) = self.cell.poll_order(key, self.now) {
-                self.answer_look(&order);
+                self.answer_poll(&order);
             }
         }
     }
 
     /// A look arrives, and its answer is heard.
-    pub fn answer_look(&mut self, order: &PollOrder) {
+    pub fn answer_poll(&mut self, order: &PollOrder) {
         let now = self.now;
         let answer = match self.alive.get_mut(&order.to.life.id) {
-            Some(alive) => alive.look(order, now),
+            Some(alive) => alive.poll(order, now),
             None => Err(PollFailure::Refused(Refusal::NotSent)),
         };
         match answer {
@@ -254,7 +254,7 @@
         for order in self.cell.take_orders() {
             match order {
                 Order::Start(order) => {
-                    let (outcome, clock) = self.carry_start_out(&order);
+                    let (outcome, clock) = self.execute_start(&order);
                     self.cell
                         .start_answered(order.run, outcome, clock, self.now);
                 }
@@ -265,7 +265,7 @@
     }
 
     /// A start arrives at the worker of the id that it is meant for.
-    pub fn carry_start_out(&mut self, order: &StartOrder) -> (StartOutcome, Option<Millis>) {
+    pub fn execute_start(&mut self, order: &StartOrder) -> (StartOutcome, Option<Millis>) {
         let now = self.now;
         let Some(alive) = self.alive.get_mut(&order.to.life.id) else {
             return (StartOutcome::Refused(Refusal::NotSent), None);
@@ -326,7 +326,7 @@
     }
 
     /// What all lives of all workers have run, by task, in the order of their beginnings.
-    pub fn ran(&mut self) -> BTreeMap<TaskName, Vec<RunRecord>> {
+    pub fn runs_by_task(&mut self) -> BTreeMap<TaskName, Vec<RunRecord>> {
         let now = self.now;
         let mut ran: BTreeMap<TaskName, Vec<RunRecord>> = BTreeMap::new();
         for alive in self.alive.values_mut().chain(&mut self.over) {
@@ -342,9 +342,9 @@
     }
 
     /// No task runs twice at once, or again after it has ended well, or more often than it may fail.
-    pub fn check(&mut self) {
+    pub fn check_runs(&mut self) {
         let attempts = self.queue.attempts as usize;
-        for (task, runs) in self.ran() {
+        for (task, runs) in self.runs_by_task() {
             for pair in runs.windows(2) {
                 let ended = pair[0].ended.map_or(Millis::MAX, |(at, _)| at);
                 assert!(ended <= pair[1].began, "{task} ran twice at once: {runs:?}");
--- a/tests/look_times.rs
+++ b/tests/look_times.rs
@@ -18,7 +18,7 @@
     cell.set_idle_reserve(awake);
     cell.list_workers((0..workers).map(worker).collect(), 1_000);
     let mut bench = Bench::with(cell, 1_000);
-    bench.look_at_all();
+    bench.poll_all();
     let key = bench.worker(0);
     let order = bench.cell.poll_order(key, bench.now);
     order.expect("a worker").wait
--- a/tests/outlived_starts.rs
+++ b/tests/outlived_starts.rs
@@ -47,7 +47,7 @@
     lose(&mut bench, &first);
     let other = bench.worker(usize::from(first.to.worker == bench.worker(0)));
     bench.now += 10;
-    bench.look_at(other);
+    bench.poll(other);
 
     // Act: the second one answers a held look long after its start, and is lost then.
     let held = bench.cell.poll_order(other, bench.now);
--- a/tests/parked_workers.rs
+++ b/tests/parked_workers.rs
@@ -56,11 +56,11 @@
 fn turn(bench: &mut Bench) {
     bench.now += 10;
     for key in awake(&bench.cell) {
-        bench.look_at(key);
+        bench.poll(key);
     }
     bench.pass(tuning::PARKING_INTERVAL);
     for key in awake(&bench.cell) {
-        bench.look_at(key);
+        bench.poll(key);
     }
     bench.pass(0);
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -61,7 +61,7 @@
     let first = questions(&bench.decide());
     all_good(&mut bench, &first[0]);
     bench.pass(3_000);
-    bench.look_at_all();
+    bench.poll_all();
     assert!(
         questions(&bench.decide()).is_empty(),
         "the room is far from free"
@@ -70,7 +70,7 @@
     bench.end(running[0].task, running[0].number, EndKind::Done);
     bench.end(running[1].task, running[1].number, EndKind::Done);
     bench.pass(20);
-    bench.look_at_all();
+    bench.poll_all();
     let again = questions(&bench.decide());
     all_good(&mut bench, &again[0]);
     let started = starts(&bench.decide());
@@ -206,7 +206,7 @@
     let (workers, tasks) = (200, 26);
     let queue = queue("q", 0);
     let mut bench = Bench::new(workers, std::slice::from_ref(&queue));
-    bench.look_at_all();
+    bench.poll_all();
     bench.accept(&job(1, &queue, vec![step(tasks, 4_000)]));
 
     // Act.
@@ -227,7 +227,7 @@
     // Arrange.
     let queue = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&queue));
-    bench.look_at_all();
+    bench.poll_all();
     bench.accept(&job(1, &queue, vec![step(1, 4_000)]));
     let first = starts(&bench.decide());
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -69,7 +69,7 @@
     for start in &first {
         bench.end(start.task, start.number, EndKind::Done);
     }
-    bench.look_at_all();
+    bench.poll_all();
     let second = bench.start_all();
 
     // Assert.
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -61,7 +61,7 @@
         let order = bench.cell.poll_order(key, bench.now);
         order.is_some_and(|order| order.to.life.id == "w1")
     });
-    bench.hear_of(other.expect("the worker"), Vec::new(), Vec::new());
+    bench.poll_with_lists(other.expect("the worker"), Vec::new(), Vec::new());
     bench.pass(20);
     starts(&bench.decide()).len()
 }
@@ -138,7 +138,7 @@
     let worker = bench.worker(0);
 
     // Act.
-    bench.hear_of(worker, vec![listed_run(KNOWN, 5)], Vec::new());
+    bench.poll_with_lists(worker, vec![listed_run(KNOWN, 5)], Vec::new());
     let stopped = stops(&bench.decide());
 
     // Assert.
@@ -154,13 +154,13 @@
     let ends = || vec![end(1, KNOWN, 5, EndKind::Done, "")];
 
     // Act: the end is listed before the time has come here.
-    bench.hear_of(worker, Vec::new(), ends());
+    bench.poll_with_lists(worker, Vec::new(), ends());
     bench.record();
     let forget = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
     bench.cell.set_wall_clock(10_100);
     bench.pass(10);
     if forget == Some(0) {
-        bench.hear_of(worker, Vec::new(), ends());
+        bench.poll_with_lists(worker, Vec::new(), ends());
     }
     let started = starts(&bench.decide());
 
@@ -190,7 +190,7 @@
         bench
             .cell
             .poll_failed(first, PollFailure::Unanswered, bench.now);
-        bench.hear_of(other, Vec::new(), Vec::new());
+        bench.poll_with_lists(other, Vec::new(), Vec::new());
         bench.pass(90);
     }
 }
@@ -202,7 +202,7 @@
     let worker = bench.worker(0);
     let most = tuning::MAX_ENDS_LISTED as u64;
     let full = (1..=most).map(|place| end(place, UNREAD, place, EndKind::Done, ""));
-    bench.hear_of(worker, Vec::new(), full.collect());
+    bench.poll_with_lists(worker, Vec::new(), full.collect());
 
     // Act.
     let_the_first_lease_run_out(&mut bench);
@@ -218,7 +218,7 @@
     // Arrange: the worker runs nothing but a task of the job that was not read.
     let mut bench = owner_with_unread_jobs();
     let worker = bench.worker(0);
-    bench.hear_of(worker, vec![listed_run(UNREAD, 5)], Vec::new());
+    bench.poll_with_lists(worker, vec![listed_run(UNREAD, 5)], Vec::new());
 
     // Act: it is cut off, and the job is read long after.
     let_the_first_lease_run_out(&mut bench);
@@ -238,7 +238,7 @@
     let mut bench = owner_with_unread_jobs();
     let worker = bench.worker(0);
     let ends = vec![end(1, UNREAD, 5, EndKind::Done, "")];
-    bench.hear_of(worker, Vec::new(), ends);
+    bench.poll_with_lists(worker, Vec::new(), ends);
 
     // Act.
     let_the_first_lease_run_out(&mut bench);
@@ -261,7 +261,7 @@
 
     // Act.
     let ends = vec![end(1, KNOWN, 5, EndKind::Stopped, "saved")];
-    bench.hear_of(worker, Vec::new(), ends);
+    bench.poll_with_lists(worker, Vec::new(), ends);
     let batch = bench.record();
     let forget = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
 
@@ -287,14 +287,14 @@
         running: vec![listed_run(KNOWN, 5)],
         ended: Vec::new(),
     };
-    bench.hear(first, &answer);
+    bench.poll_with_report(first, &answer);
     bench
         .cell
         .poll_failed(first, PollFailure::Unanswered, bench.now);
     let until = bench.now + silence;
     let mut again = 0;
     while bench.now < until {
-        bench.hear_of(other, Vec::new(), Vec::new());
+        bench.poll_with_lists(other, Vec::new(), Vec::new());
         bench.pass(40);
         again += starts(&bench.decide()).len();
     }
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -70,7 +70,7 @@
     bench.cell.advised(&first[0], Some(vec![ticket]), bench.now);
 
     bench.pass(3_000);
-    bench.look_at_all();
+    bench.poll_all();
     let again = questions(&bench.decide());
 
     assert_eq!(question_workers(&again[0])[0], good);
--- a/tests/random_world/checks.rs
+++ b/tests/random_world/checks.rs
@@ -2,7 +2,7 @@
 
 use super::{ATTEMPTS, MOST_CRASHES, WAY, World, held_by, worker_with_gpus};
 use crate::halls::MOST_TOLD;
-use crate::lives::Alive;
+use crate::lives::WorkerLife;
 use crossweir::cell::job::JobState;
 use crossweir::cell::name::TaskName;
 use crossweir::cell::order::{EndEntry, EndKind, PollOrder, StartOrder};
@@ -37,7 +37,7 @@
         let Some(team) = self.team_of(order.task.step.job.0) else {
             return;
         };
-        let runs = self.workers.values().flat_map(Alive::runs);
+        let runs = self.workers.values().flat_map(WorkerLife::runs);
         let running = runs.filter(|run| run.ended.is_none());
         let of_team = running.filter(|run| {
             let other = self.team_of(run.task.step.job.0);
@@ -142,7 +142,7 @@
         let lives = self.workers.values().chain(&self.graves);
         let is_astray = |run: &RunRecord| self.astray.contains(&(run.task, run.number, run.began));
         lives
-            .flat_map(Alive::runs)
+            .flat_map(WorkerLife::runs)
             .filter(move |run| !is_astray(run))
     }
 
@@ -267,7 +267,7 @@
         let lives = || self.workers.values().chain(&self.graves);
         let gang = row.spec.steps[0].gang;
         let done = |index: u32| {
-            lives().flat_map(Alive::runs).any(|run| {
+            lives().flat_map(WorkerLife::runs).any(|run| {
                 let name = run.task;
                 name.step.job == task.step.job
                     && name.step.step == 0
--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -18,7 +18,7 @@
     advised_queue, configuration, job, queue, shared_configuration, step, worker, workspace,
 };
 use crate::halls::{HALLS, Operator};
-use crate::lives::Alive;
+use crate::lives::WorkerLife;
 use aim::Aim;
 use crossweir::cell::job::JobState;
 use crossweir::cell::life::Life;
@@ -147,7 +147,7 @@
     rng: StdRng,
     now: Millis,
     /// Workers by the id of their present life.
-    workers: BTreeMap<String, Alive>,
+    workers: BTreeMap<String, WorkerLife>,
     entries: Vec<WorkerEntry>,
     /// What the platform lists of them, and when it lists a later life.
     listing: Vec<WorkerEntry>,
@@ -159,7 +159,7 @@
     to_come_back: Vec<FormerEntry>,
     come_back: Vec<FormerEntry>,
     /// What lives that are over have run.
-    graves: Vec<Alive>,
+    graves: Vec<WorkerLife>,
     lives: u16,
     late: Vec<(Millis, Late)>,
     /// Calls and answers that take their time.
@@ -231,7 +231,7 @@
             rng: StdRng::seed_from_u64(seed),
             now: 1_000,
             workers: ids
-                .map(|id| (id, Alive::since(0, MemoryWorker::default())))
+                .map(|id| (id, WorkerLife::begun_at(0, MemoryWorker::default())))
                 .collect(),
             listing: entries.clone(),
             to_list: Vec::new(),
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -4,7 +4,7 @@
     CRASH, HELD, Late, MOST_LATE, Message, Moment, ORDER_TIMEOUT, UntoldStart, WAY, Way, World,
     held_by, worker_with_gpus,
 };
-use crate::lives::Alive;
+use crate::lives::WorkerLife;
 use crossweir::cell::order::{
     AdviceOrder, Order, PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome,
     StopOrder,
@@ -145,7 +145,7 @@
         }
         let mut answer = match self.workers.get_mut(&order.to.life.id) {
             _ if lost_before => Err(PollFailure::Unanswered),
-            Some(worker) => worker.look(&order, self.now),
+            Some(worker) => worker.poll(&order, self.now),
             None if is_down => Err(PollFailure::Refused(Refusal::NotSent)),
             None => Err(PollFailure::Refused(Refusal::Gone)),
         };
@@ -169,7 +169,7 @@
     /// life would carry out could make it forget a run that began and ended meanwhile, which
     /// nobody can know of (docs/FINDINGS.md, "Lives").
     pub(super) fn is_lost_with_its_life(&self, order: &PollOrder) -> bool {
-        let began = self.workers.get(&order.to.life.id).map(Alive::began);
+        let began = self.workers.get(&order.to.life.id).map(WorkerLife::began);
         self.keeps_ids && began.is_some_and(|began| order.sent <= began)
     }
 
--- a/tests/random_world/workers.rs
+++ b/tests/random_world/workers.rs
@@ -4,7 +4,7 @@
     ENTRY_LASTS, FAILING, FormerEntry, HEARTBEAT, MOST_AWAY, MOST_DOWN, MOST_LATE_ENTRY,
     MOST_UNLISTED, Moment, TICK, World,
 };
-use crate::lives::{Alive, EPOCH};
+use crate::lives::{UNIX_START, WorkerLife};
 use crossweir::cell::name::TaskName;
 use crossweir::cell::order::{EndEntry, StartOrder};
 use crossweir::cell::worker::WorkerEntry;
@@ -115,7 +115,7 @@
         let entry = &mut self.entries[place];
         entry.life.id = format!("w{}", self.lives);
         self.lives += 1;
-        let alive = Alive::since(0, MemoryWorker::default());
+        let alive = WorkerLife::begun_at(0, MemoryWorker::default());
         self.workers.insert(entry.life.id.clone(), alive);
         if self.has_late_entries {
             let listed = self.now + self.rng.random_range(0..MOST_UNLISTED);
@@ -127,14 +127,14 @@
     }
 
     pub(super) fn begin_life_of_same_id(&mut self, place: usize) {
-        let born = EPOCH + self.now;
+        let born = UNIX_START + self.now;
         let life = &mut self.entries[place].life;
         life.born = Some(born);
         let mut memory = MemoryWorker::born_at(born);
         memory.fails = !self.calm && self.rng.random_ratio(1, FAILING);
         self.listed.remove(&life.id);
         self.lapsed.remove(&life.id);
-        let alive = Alive::since(self.now, memory);
+        let alive = WorkerLife::begun_at(self.now, memory);
         self.workers.insert(life.id.clone(), alive);
         let listed = self.now + self.rng.random_range(0..MOST_UNLISTED);
         self.to_list.push((listed, place));
--- a/tests/refused_starts.rs
+++ b/tests/refused_starts.rs
@@ -18,7 +18,7 @@
     // Act: every worker refuses it for 5 s.
     let mut sent = 0;
     for _ in 0..500 {
-        bench.look_at_all();
+        bench.poll_all();
         for start in starts(&bench.decide()) {
             sent += 1;
             let refused = StartOutcome::Refused(Refusal::UnknownTask);
--- a/tests/shrinking_rooms.rs
+++ b/tests/shrinking_rooms.rs
@@ -22,7 +22,7 @@
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     bench.accept(&job(7, &q, vec![step(12, 1_000)]));
     assert_eq!(bench.start_all().len(), 12);
-    bench.look_at_all();
+    bench.poll_all();
     bench.cell.list_worker(with_cores(8), bench.now);
     bench.accept(&job(8, &q, vec![step(12, 1_000)]));
     bench
@@ -35,7 +35,7 @@
     for (task, number) in runs {
         bench.end(task, number, EndKind::Done);
     }
-    bench.look_at_all();
+    bench.poll_all();
 }
 
 #[test]
@@ -63,7 +63,7 @@
     let stopped = stops(&bench.decide()).len();
 
     // Act.
-    bench.look_at_all();
+    bench.poll_all();
     let before = starts(&bench.decide()).len();
     end_some(&mut bench, 12);
     let after = starts(&bench.decide()).len();
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use cell_core::question;
+use cell_core::job_request;
 use crossweir::cell::job::JobState;
 use crossweir::http::client::{CallError, FullResponse, HttpClient};
 use crossweir::http::server;
@@ -235,7 +235,7 @@
 }
 
 async fn ask(link: &RpcNodeLink, relay: &Relay, limit: Duration) -> Result<(), PeerError> {
-    let call = NodeCall::State(question(1));
+    let call = NodeCall::State(job_request(1));
     let limit = limit.as_millis() as u64;
     let reply = link.call(relay.address, call, limit).await?;
     assert_eq!(reply, NodeReply::State(JobState::Queued));
@@ -252,7 +252,7 @@
             let link = Arc::clone(&link);
             let address = relay.address;
             task::spawn_local(async move {
-                let call = NodeCall::State(question(2));
+                let call = NodeCall::State(job_request(2));
                 link.call(address, call, 2 * LIMIT.as_millis() as u64).await
             })
         };
--- a/tests/slow_tasks.rs
+++ b/tests/slow_tasks.rs
@@ -25,7 +25,7 @@
         for start in bench.start_all() {
             bench.pass(800);
             bench.end(start.task, start.number, EndKind::Done);
-            bench.look_at_all();
+            bench.poll_all();
         }
     }
 }
@@ -49,14 +49,14 @@
         }
         let Some(start) = &run else { break };
         let percent = (bench.now - began) / 80;
-        bench.still.insert(start.to.worker, percent as u32);
-        bench.look_at_all();
+        bench.fixed_percent.insert(start.to.worker, percent as u32);
+        bench.poll_all();
         bench.record();
         bench.pass(10);
         for stop in stops(&bench.decide()) {
             stopped += 1;
             bench.end(stop.task, stop.number, EndKind::Stopped);
-            bench.look_at_all();
+            bench.poll_all();
         }
     }
 
@@ -80,10 +80,12 @@
     for passed in 1..=30 {
         for (start, rate) in starts.iter().zip(rates) {
             let percent = rate * passed / 10;
-            bench.still.insert(start.to.worker, percent.min(99) as u32);
+            bench
+                .fixed_percent
+                .insert(start.to.worker, percent.min(99) as u32);
         }
         bench.pass(90);
-        bench.look_at_all();
+        bench.poll_all();
         stopped.extend(stops(&bench.decide()).iter().map(|stop| stop.number));
     }
     stopped.len()
--- a/tests/told_lapses.rs
+++ b/tests/told_lapses.rs
@@ -27,7 +27,7 @@
     bench.start(&start);
     let (key, task) = (bench.worker(0), start.task.to_string());
     let done = listed_end(1, &task, start.number, EndKind::Done);
-    bench.hear_of(key, Vec::new(), vec![done]);
+    bench.poll_with_lists(key, Vec::new(), vec![done]);
     bench
         .cell
         .poll_failed(key, PollFailure::Unanswered, bench.now);
@@ -51,9 +51,9 @@
         .into_iter()
         .nth(1)
         .expect("the other worker");
-    next.look_at(other);
+    next.poll(other);
     next.pass(10);
-    next.look_at(other);
+    next.poll(other);
     next.pass(10);
     starts(&next.decide())
         .iter()
@@ -81,7 +81,7 @@
     bench.start(&start);
     let (key, task) = (bench.worker(0), start.task.to_string());
     let done = listed_end(1, &task, start.number, EndKind::Done);
-    bench.hear_of(key, Vec::new(), vec![done]);
+    bench.poll_with_lists(key, Vec::new(), vec![done]);
     bench.pass(10);
 
     // Act: the store is away, so its entry lapses, and it falls silent to this owner.
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -59,7 +59,7 @@
 fn next(bench: &mut Bench) -> Option<JobId> {
     let (task, number) = bench.running.values().flatten().next().copied()?;
     bench.end(task, number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     let started = bench.start_all();
     started.first().map(|start| start.task.step.job)
 }
--- a/tests/unread_jobs.rs
+++ b/tests/unread_jobs.rs
@@ -35,7 +35,7 @@
 /// The first worker lists this.
 fn look(bench: &mut Bench, running: Vec<RunningEntry>, ended: Vec<EndEntry>) {
     let worker = bench.worker(0);
-    bench.hear_of(worker, running, ended);
+    bench.poll_with_lists(worker, running, ended);
 }
 
 /// An owner that knows job 7 and could not read others, with two workers.
@@ -131,7 +131,7 @@
     bench.accept(&job(7, &q, vec![step(1, 1_000)]));
     let start = bench.start_all().remove(0);
     bench.end(start.task, start.number, EndKind::Done);
-    bench.look_at_all();
+    bench.poll_all();
     bench
 }
 
@@ -214,14 +214,14 @@
 
     // Act.
     let other = bench.worker(1);
-    bench.look_at(other);
+    bench.poll(other);
     let of_job = |bench: &mut Bench| {
         let orders = starts(&bench.decide());
         orders.iter().any(|order| order.task.step.job == row.id)
     };
     let before = of_job(&mut bench);
     bench.pass(2 * tuning::LEASE);
-    bench.look_at(other);
+    bench.poll(other);
     let after = of_job(&mut bench);
 
     // Assert.
--- a/tests/worker_lives.rs
+++ b/tests/worker_lives.rs
@@ -20,7 +20,7 @@
 use crossweir::cell::job::JobState;
 use crossweir::cell::order::{EndKind, Order, StopOrder};
 use crossweir::embedded::worker::MemoryWorker;
-use lives::{Alive, EPOCH, Site};
+use lives::{Site, UNIX_START, WorkerLife};
 use yare::parameterized;
 
 /// Ends that the former life has listed, all of them recorded and forgotten.
@@ -39,12 +39,12 @@
 
 /// The first worker goes on for longer than any lease and is heard by nobody, while another one is there;
 /// then it is heard again.
-fn go_on_unheard(site: &mut Site, alive: Alive) {
+fn go_on_unheard(site: &mut Site, alive: WorkerLife) {
     site.entries.push(worker(1));
     site.begin_life(1);
     site.list(1);
     site.pass(12_000);
-    site.heal(0, alive);
+    site.reconnect(0, alive);
     site.pass(8_000);
 }
 
@@ -60,7 +60,7 @@
     site.pass(3_000);
 
     // Assert
-    site.check();
+    site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
 
@@ -79,7 +79,7 @@
     site.pass(3_000);
 
     // Assert
-    site.check();
+    site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Failed));
 }
 
@@ -93,14 +93,14 @@
     site.pass(60_000);
 
     // Act
-    site.heal(0, cut);
+    site.reconnect(0, cut);
     site.pass(1_000);
     let id = site.submit(900, vec![step(12, 4_000)]);
     site.pass(700);
 
     // Assert: two workers hold eight such tasks at once, one holds four.
-    assert_eq!(site.going(id), 8);
-    site.check();
+    assert_eq!(site.count_running(id), 8);
+    site.check_runs();
 }
 
 /// What tells the owner first that another life has begun.
@@ -179,7 +179,7 @@
     site.pass(12_000);
 
     // Assert
-    site.check();
+    site.check_runs();
     assert!(site.state(filling).is_some_and(JobState::is_final));
     assert_eq!(site.state(later), Some(JobState::Succeeded));
 }
@@ -188,7 +188,7 @@
 fn a_life_that_begins_to_tell_of_its_start_goes_on() {
     // Arrange: a worker that does not tell when it started runs four tasks.
     let mut site = Site::new(1);
-    let silent = Alive::since(site.now, MemoryWorker::default());
+    let silent = WorkerLife::begun_at(site.now, MemoryWorker::default());
     site.entries[0].life.born = None;
     site.alive.insert(site.entries[0].life.id.clone(), silent);
     site.pass(200);
@@ -199,13 +199,13 @@
 
     // Act
     for alive in site.alive.values_mut() {
-        alive.memory.tell(EPOCH);
+        alive.memory.tell(UNIX_START);
     }
     site.pass(3_000);
 
     // Assert
-    site.check();
-    let runs = site.ran();
+    site.check_runs();
+    let runs = site.runs_by_task();
     let of_job = runs.iter().filter(|(task, _)| task.step.job == id);
     let ended: Vec<_> = of_job
         .flat_map(|(_, runs)| runs)
@@ -222,9 +222,9 @@
     site.restart(0, 0);
     site.pass(500);
     let _second = site.cut_off(0);
-    let first = Alive::since(site.now, MemoryWorker::born_at(EPOCH + 1_000));
-    site.entries[0].life.born = Some(EPOCH + 1_000);
-    site.heal(0, first);
+    let first = WorkerLife::begun_at(site.now, MemoryWorker::born_at(UNIX_START + 1_000));
+    site.entries[0].life.born = Some(UNIX_START + 1_000);
+    site.reconnect(0, first);
     site.pass(500);
     assert_eq!(site.cell.counts().rival_lives, 1);
 
@@ -233,11 +233,11 @@
     site.pass(300);
 
     // Assert: only the other worker has room, until the first one has been alone for long.
-    assert_eq!(site.going(id), 4);
+    assert_eq!(site.count_running(id), 4);
     site.pass(30_000);
     let later = site.submit(900, vec![step(8, 4_000)]);
     site.pass(300);
-    assert_eq!(site.going(later), 8);
+    assert_eq!(site.count_running(later), 8);
 }
 
 /// A worker whose last ends are recorded, and which it has not been told to forget yet.
@@ -247,7 +247,7 @@
     let id = site.submit(50, vec![step(2, 1_000)]);
     site.decide();
     site.now += 60;
-    site.look_at_all();
+    site.poll_all();
     site.record();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
     site
@@ -268,7 +268,7 @@
     let after = site.cell.poll_order(key, site.now).expect("a worker");
 
     // Assert
-    assert_eq!(site.going(id), 1);
+    assert_eq!(site.count_running(id), 1);
     assert!(before.forget > 0);
     assert_eq!((after.forget, after.due, after.wait), (0, None, 0));
 }
@@ -281,7 +281,7 @@
 
     // Act: the entry tells of another start; the worker has not answered yet.
     let mut entry = site.entries[0].clone();
-    entry.life.born = Some(EPOCH + site.now);
+    entry.life.born = Some(UNIX_START + site.now);
     entry.address.set_port(9_999);
     site.cell.list_worker(entry.clone(), site.now);
     let id = site.submit(300, vec![step(1, 1_000)]);
@@ -289,16 +289,16 @@
     let look = site.cell.poll_order(key, site.now).expect("a worker");
 
     // Assert
-    assert_eq!(site.going(id), 0);
+    assert_eq!(site.count_running(id), 0);
     assert_eq!((look.forget, look.due, look.wait), (0, None, 0));
     assert_eq!(look.to.address, entry.address);
 
     // Act: the former life answers, so the entry was an old one.
-    site.answer_look(&look);
+    site.answer_poll(&look);
     site.decide();
 
     // Assert
-    assert_eq!(site.going(id), 1);
+    assert_eq!(site.count_running(id), 1);
 }
 
 /// Seen in random runs: a task ran again after its end.  A life was replaced by the next one before it
@@ -316,12 +316,12 @@
     site.begin_life(0);
     for order in &late {
         if let Order::Start(start) = order {
-            let _ = site.carry_start_out(start);
+            let _ = site.execute_start(start);
         }
     }
     site.now += 100;
     let look = site.cell.poll_order(key, site.now).expect("a worker");
-    site.answer_look(&look);
+    site.answer_poll(&look);
 
     // Act: the third life is there before anything else was heard of the second one.
     site.end_life(0);
@@ -333,7 +333,7 @@
     site.pass(3_000);
 
     // Assert
-    site.check();
+    site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
 
@@ -367,7 +367,7 @@
             alive
                 .stop(&stop, now)
                 .expect("a life that has seen no epoch");
-            let _ = site.carry_start_out(start);
+            let _ = site.execute_start(start);
         }
     }
     site.list(0);
@@ -381,7 +381,7 @@
     go_on_unheard(&mut site, alive);
 
     // Assert
-    site.check();
+    site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
 
@@ -397,14 +397,14 @@
     site.begin_life(0);
     let id = site.submit(6_500, vec![step(1, 1_000)]);
     site.decide();
-    assert_eq!(site.going(id), 1);
+    assert_eq!(site.count_running(id), 1);
 
     // Act: it is cut off, and another worker is there.
     let alive = site.cut_off(0);
     go_on_unheard(&mut site, alive);
 
     // Assert
-    site.check();
+    site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
 
@@ -420,7 +420,7 @@
     site.pass(300);
     let second = site.cut_off(1);
     site.take_over();
-    site.heal(0, first);
+    site.reconnect(0, first);
     site.pass(100);
 
     // Act: a start is on its way to the first worker when that starts again, and is carried out.
@@ -431,25 +431,25 @@
     site.begin_life(0);
     site.list(0);
     site.now += 10;
-    site.look_at_all();
+    site.poll_all();
     for order in &late {
         if let Order::Start(start) = order {
-            let _ = site.carry_start_out(start);
+            let _ = site.execute_start(start);
         }
     }
     for _ in 0..3 {
         site.cell.tick(site.now);
         site.record();
     }
-    assert_eq!(site.going(id), 1);
+    assert_eq!(site.count_running(id), 1);
     let first = site.cut_off(0);
     site.take_over();
-    site.heal(1, second);
+    site.reconnect(1, second);
     site.pass(1_000);
-    site.heal(0, first);
+    site.reconnect(0, first);
     site.pass(5_000);
 
     // Assert
-    site.check();
+    site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
