--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -166,8 +166,9 @@
         matches!(seen, Some(NodeReply::UnknownJob))
     }
 
+    /// Asks the owner for the state of a job, for [`ID_TIMEOUT`] at most.
     async fn query_owner(&self, caller: &Caller, id: JobId) -> Option<NodeReply> {
-        let call = NodeCall::State(question(caller, id));
+        let call = NodeCall::State(job_request(caller, id));
         ask_owner(&self.shared, call, ID_TIMEOUT).await
     }
 
@@ -199,8 +200,8 @@
 
     /// Returns the state of a job.  `deadline` is the caller's remaining time in milliseconds.
     pub async fn state(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> JobAnswer {
-        let asking = tokio::time::timeout(answer_limit(deadline), self.find_state(caller, id));
-        asking.await.unwrap_or_else(|_| {
+        let query = tokio::time::timeout(answer_limit(deadline), self.find_state(caller, id));
+        query.await.unwrap_or_else(|_| {
             tracing::info!(request = %id, ?deadline, "state of a job not found in time");
             JobAnswer::Unavailable
         })
@@ -208,21 +209,21 @@
 
     async fn find_state(&self, caller: &Caller, id: JobId) -> JobAnswer {
         self.await_owner().await;
-        let call = NodeCall::State(question(caller, id));
-        let asked = ask_owner(&self.shared, call, OWNER_TIMEOUT).await;
+        let call = NodeCall::State(job_request(caller, id));
+        let reply = ask_owner(&self.shared, call, OWNER_TIMEOUT).await;
         let (early, may_see) = {
             let ends = self.shared.early_ends();
             (ends.state(id), ends.may_see(caller, id))
         };
-        let (told, source) = match (asked, early) {
+        let (answer, source) = match (reply, early) {
             (Some(NodeReply::State(state)), _) => (JobAnswer::State(state), "owner"),
             (_, Some(_)) if !may_see => (JobAnswer::Unknown, "early ends"),
             (_, Some(state)) => (JobAnswer::State(state), "early ends"),
             _ => (self.stored_state(caller, id).await, "rows"),
         };
         let epoch = self.shared.owner().epoch;
-        tracing::info!(request = %id, ?told, source, epoch, "state told");
-        told
+        tracing::info!(request = %id, told = ?answer, source, epoch, "state told");
+        answer
     }
 
     /// Waits for an owner if there is none, for [`OWNER_WAIT`] at most: a takeover takes less time
@@ -259,12 +260,12 @@
         match job {
             Some(row) => {
                 let workspace = row.workspace.as_ref().map(|w| w.name.as_str());
-                let told = match caller.may_see(workspace) {
+                let answer = match caller.may_see(workspace) {
                     true => JobAnswer::State(JobState::Queued),
                     false => JobAnswer::Unknown,
                 };
                 tokio::spawn(notify_owner(Arc::clone(&self.shared), row));
-                told
+                answer
             }
             None => JobAnswer::Unknown,
         }
@@ -279,9 +280,9 @@
         caller: &Caller,
         id: JobId,
     ) -> std::result::Result<JobView, JobAnswer> {
-        let call = NodeCall::Explain(question(caller, id));
-        let asked = ask_owner(&self.shared, call, OWNER_TIMEOUT).await;
-        if let Some(NodeReply::Explained(view)) = asked {
+        let call = NodeCall::Explain(job_request(caller, id));
+        let reply = ask_owner(&self.shared, call, OWNER_TIMEOUT).await;
+        if let Some(NodeReply::Explained(view)) = reply {
             match serde_json::from_slice(&view) {
                 Ok(view) => return Ok(view),
                 Err(err) => tracing::error!(%err, request = %id, "cannot decode the view of a job"),
@@ -295,13 +296,13 @@
     pub async fn cancel(&self, caller: &Caller, id: JobId, deadline: Option<Millis>) -> JobAnswer {
         let cancelling =
             tokio::time::timeout(answer_limit(deadline), self.cancel_at_owner(caller, id));
-        let told = cancelling.await.unwrap_or(JobAnswer::Unavailable);
-        tracing::info!(request = %id, ?told, "cancellation");
-        told
+        let answer = cancelling.await.unwrap_or(JobAnswer::Unavailable);
+        tracing::info!(request = %id, told = ?answer, "cancellation");
+        answer
     }
 
     async fn cancel_at_owner(&self, caller: &Caller, id: JobId) -> JobAnswer {
-        let call = NodeCall::Cancel(question(caller, id));
+        let call = NodeCall::Cancel(job_request(caller, id));
         match ask_owner(&self.shared, call, CANCEL_TIMEOUT).await {
             Some(NodeReply::Cancelled) => JobAnswer::Cancelled,
             Some(NodeReply::UnknownJob) => JobAnswer::Unknown,
@@ -356,7 +357,7 @@
     }
 }
 
-fn question(caller: &Caller, job: JobId) -> JobRequest {
+fn job_request(caller: &Caller, job: JobId) -> JobRequest {
     JobRequest {
         job,
         caller: caller.clone(),
