--- a/src/embedded/mod.rs
+++ b/src/embedded/mod.rs
@@ -57,9 +57,9 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// Reads rows that hold our own types as JSON.
-pub struct PlainDecoder;
+pub struct JsonDecoder;
 
-impl Decoder for PlainDecoder {
+impl Decoder for JsonDecoder {
     fn worker(&self, _id: &str, value: &str) -> std::result::Result<WorkerEntry, DecodeError> {
         serde_json::from_str(value).map_err(|err| DecodeError(err.to_string()))
     }
@@ -101,7 +101,7 @@
         store,
         workers,
         advisor: None,
-        decoder: Arc::new(PlainDecoder),
+        decoder: Arc::new(JsonDecoder),
         peers,
     })?;
     Ok(node.start(listener))
--- a/src/embedded/store.rs
+++ b/src/embedded/store.rs
@@ -14,7 +14,7 @@
 };
 
 /// The longest row, in bytes, as the users' platform has it.
-pub const MOST_ROW_BYTES: usize = 65_536;
+pub const MAX_ROW_BYTES: usize = 65_536;
 /// The most rows that a transaction may name, as the users' platform has it.
 pub const MOST_ENTRIES: usize = 100;
 /// The most bytes that a transaction may have in the form in which it is sent.
@@ -125,7 +125,7 @@
     // Values are sent as base64.
     let values: usize = tx.puts.iter().map(|(_, value)| value.len() * 4 / 3).sum();
     entries > MOST_ENTRIES
-        || longest.is_some_and(|bytes| bytes > MOST_ROW_BYTES)
+        || longest.is_some_and(|bytes| bytes > MAX_ROW_BYTES)
         || values > MOST_BYTES
 }
 
--- a/src/embedded/worker.rs
+++ b/src/embedded/worker.rs
@@ -64,7 +64,7 @@
     /// Every run, in the order of their beginnings.
     pub history: Vec<RunRecord>,
     /// Every task fails at its end.
-    pub fails: bool,
+    pub fails_all_tasks: bool,
     /// When this life started, if it tells.
     born: Option<Millis>,
 }
@@ -79,7 +79,7 @@
     }
 
     /// Ends what has run its time or lost its lease by `now`.
-    pub fn settle(&mut self, now: Millis) {
+    pub fn end_due_runs(&mut self, now: Millis) {
         let due = self.due;
         let end_of = |run: &Going| match run.ends {
             Some(ends) if ends <= due => ends,
@@ -94,7 +94,7 @@
             !ended
         });
         over.sort_by_key(end_of);
-        let well = if self.fails {
+        let well = if self.fails_all_tasks {
             EndKind::Failed
         } else {
             EndKind::Done
@@ -138,7 +138,7 @@
     }
 
     /// It tells from now on when it started, in Unix milliseconds.
-    pub fn tell(&mut self, born: Millis) {
+    pub fn set_born(&mut self, born: Millis) {
         self.born = Some(born);
     }
 
@@ -154,13 +154,13 @@
 
     /// Tells whether ends wait to be taken note of.
     pub fn has_ends(&mut self, now: Millis) -> bool {
-        self.settle(now);
+        self.end_due_runs(now);
         !self.ended.is_empty()
     }
 
     /// This life is over, and nothing more is told of it.
     pub fn crash(&mut self, now: Millis) {
-        self.settle(now);
+        self.end_due_runs(now);
         for run in self.going.drain(..) {
             self.history[run.record].ended = Some((now, EndKind::Lapsed));
         }
@@ -168,7 +168,7 @@
 
     /// Carries a start out.
     pub fn start(&mut self, order: &StartOrder, now: Millis) -> StartOutcome {
-        self.settle(now);
+        self.end_due_runs(now);
         if order.to.epoch < self.epoch {
             return StartOutcome::Refused(Refusal::Epoch);
         }
@@ -213,7 +213,7 @@
     /// # Errors
     /// Refuses orders of a lower epoch.
     pub fn stop(&mut self, order: &StopOrder, now: Millis) -> Result<(), Refusal> {
-        self.settle(now);
+        self.end_due_runs(now);
         if order.to.epoch < self.epoch {
             return Err(Refusal::Epoch);
         }
@@ -233,8 +233,8 @@
     ///
     /// # Errors
     /// Refuses orders of a lower epoch.
-    pub fn look(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
-        self.settle(now);
+    pub fn poll(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
+        self.end_due_runs(now);
         if order.to.epoch < self.epoch {
             return Err(PollFailure::Refused(Refusal::Epoch));
         }
@@ -286,7 +286,9 @@
     pub fn history(&self) -> Vec<RunRecord> {
         let now = self.clock.now();
         let mut workers = self.lock();
-        workers.values_mut().for_each(|worker| worker.settle(now));
+        workers
+            .values_mut()
+            .for_each(|worker| worker.end_due_runs(now));
         let runs = workers.values().flat_map(|worker| &worker.history);
         runs.cloned().collect()
     }
@@ -295,12 +297,12 @@
         self.workers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn look_until_end(&self, order: &PollOrder) -> Result<PollReport, PollFailure> {
+    async fn poll_until_end(&self, order: &PollOrder) -> Result<PollReport, PollFailure> {
         let until = self.clock.now() + order.wait;
         loop {
             let now = self.clock.now();
             let look = match self.lock().get_mut(&order.to.life.id) {
-                Some(worker) => worker.look(order, now),
+                Some(worker) => worker.poll(order, now),
                 None => Err(PollFailure::Refused(Refusal::Gone)),
             };
             let news = look.as_ref().map_or(true, |look| !look.ended.is_empty());
@@ -337,6 +339,6 @@
     }
 
     fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
-        self.look_until_end(order).boxed()
+        self.poll_until_end(order).boxed()
     }
 }
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -169,7 +169,7 @@
         let workers = cell.worker_keys().into_iter().enumerate();
         let workers = workers.map(|(number, key)| {
             let mut worker = MemoryWorker::default();
-            worker.fails = number < bad;
+            worker.fails_all_tasks = number < bad;
             (key, worker)
         });
         Self {
@@ -251,7 +251,7 @@
             let Some(order) = self.cell.poll_order(key, self.now) else {
                 continue;
             };
-            match worker.look(&order, self.now) {
+            match worker.poll(&order, self.now) {
                 Ok(look) => self.cell.poll_answered(&order, &look, self.now),
                 Err(failure) => self.cell.poll_failed(key, failure, self.now),
             }
--- a/tests/asked_at_the_end.rs
+++ b/tests/asked_at_the_end.rs
@@ -15,7 +15,7 @@
 use crossweir::cell::job::JobState;
 use crossweir::cell::record::JobRow;
 use crossweir::clock::Millis;
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::engine::Engine;
 use crossweir::node::front::{Frontend, JobAnswer};
@@ -42,7 +42,7 @@
         let ids = ["w0", "w1"].map(str::to_owned);
         Arc::new(MemoryWorkers::new(clock, ids)) as Arc<_>
     };
-    let node = virtual_node_with(&[Relay::Works], workers, Arc::new(PlainDecoder));
+    let node = virtual_node_with(&[Relay::Works], workers, Arc::new(JsonDecoder));
     furnish(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
     let version = claim(&node.store, "n0", 7, 1);
     let engine = Engine::start(&node.shared, 1, version).await;
--- a/tests/crashing_tasks.rs
+++ b/tests/crashing_tasks.rs
@@ -205,7 +205,7 @@
                 continue;
             };
             let answer = match self.workers.get_mut(&order.to.life.id) {
-                Some(worker) => worker.look(&order, self.now),
+                Some(worker) => worker.poll(&order, self.now),
                 None => Err(PollFailure::Unanswered),
             };
             match answer {
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -33,7 +33,7 @@
 use crossweir::cell::record::JobRow;
 use crossweir::cell::tuning;
 use crossweir::clock::{Clock, Millis};
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::election;
 use crossweir::node::engine::Engine;
@@ -101,7 +101,7 @@
             cut: dark,
         })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(PlainDecoder));
+    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
     furnish(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
     Bed { node, starts, cut }
 }
--- a/tests/former_owner.rs
+++ b/tests/former_owner.rs
@@ -14,7 +14,7 @@
 use crossweir::cell::record::JobRow;
 use crossweir::cell::{RunKey, WorkerKey, tuning};
 use crossweir::clock::{Clock, Millis};
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::engine::Engine;
 use crossweir::node::links::Workers;
@@ -55,7 +55,7 @@
             epochs: seen,
         })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(PlainDecoder));
+    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
     furnish(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
     (node, epochs)
 }
--- a/tests/hall_rows.rs
+++ b/tests/hall_rows.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::evacuation::Halls;
 use crossweir::node::engine::Engine;
@@ -21,7 +21,7 @@
     virtual_node_with(
         relays,
         |clock| Arc::new(MemoryWorkers::new(clock, std::iter::empty())),
-        Arc::new(PlainDecoder),
+        Arc::new(JsonDecoder),
     )
 }
 
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -38,7 +38,7 @@
 use crossweir::cell::spec::{JobId, JobSpec, Step};
 use crossweir::cell::tuning;
 use crossweir::clock::{Clock, Millis};
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::{ENDLESS, MemoryWorkers};
 use crossweir::node::election;
 use crossweir::node::engine::Engine;
@@ -163,7 +163,7 @@
             made = Some(Arc::clone(&partly));
             partly
         };
-        let node = virtual_node_with(&[], workers, Arc::new(PlainDecoder));
+        let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
         furnish(&node, std::slice::from_ref(q), &[worker(0), worker(1)]);
         let engine = own(&node, 1).await;
         Self {
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -59,12 +59,12 @@
 
     /// Answers a look.
     pub fn poll(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
-        self.memory.look(order, now - self.began)
+        self.memory.poll(order, now - self.began)
     }
 
     /// Ends what has run its time or lost its lease.
     pub fn settle(&mut self, now: Millis) {
-        self.memory.settle(now - self.began);
+        self.memory.end_due_runs(now - self.began);
     }
 
     /// This life is over.
--- a/tests/many_heartbeats.rs
+++ b/tests/many_heartbeats.rs
@@ -17,7 +17,7 @@
 use crossweir::cell::spec::Step;
 use crossweir::cell::worker::WorkerEntry;
 use crossweir::clock::{Clock, Millis};
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::engine::Engine;
 use crossweir::node::links::Workers;
@@ -71,7 +71,7 @@
         let starts = counted;
         Arc::new(Counted { inner, starts })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(PlainDecoder));
+    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
     let others = (0..OTHERS).map(worker);
     let entries: Vec<_> = others.chain([labelled(None)]).collect();
     furnish(&node, &[queue("q", 0)], &entries);
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -12,7 +12,7 @@
     PollFailure, PollOrder, PollReport, Refusal, StartOrder, StartOutcome, StopOrder,
 };
 use crossweir::clock::{Clock, Millis};
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::engine::Engine;
 use crossweir::node::links::Workers;
@@ -71,7 +71,7 @@
             starts: seen,
         })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(PlainDecoder));
+    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
     let q = queue("q", 0);
     node.shared.adopt_config(
         Configuration::from(Draft {
--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -433,7 +433,7 @@
         }
         self.calm = true;
         for worker in self.workers.values_mut() {
-            worker.memory.fails = false;
+            worker.memory.fails_all_tasks = false;
         }
         self.store_down_until = 0;
         self.cut_until.clear();
--- a/tests/random_world/workers.rs
+++ b/tests/random_world/workers.rs
@@ -131,7 +131,7 @@
         let life = &mut self.entries[place].life;
         life.born = Some(born);
         let mut memory = MemoryWorker::born_at(born);
-        memory.fails = !self.calm && self.rng.random_ratio(1, FAILING);
+        memory.fails_all_tasks = !self.calm && self.rng.random_ratio(1, FAILING);
         self.listed.remove(&life.id);
         self.lapsed.remove(&life.id);
         let alive = WorkerLife::begun_at(self.now, memory);
--- a/tests/roster_rows.rs
+++ b/tests/roster_rows.rs
@@ -5,7 +5,7 @@
 use cell_core::worker;
 use crossweir::cell::roster::{RosterChange, RosterEntry};
 use crossweir::cell::spec::JobId;
-use crossweir::embedded::store::{MOST_ROW_BYTES, MemoryStore};
+use crossweir::embedded::store::{MAX_ROW_BYTES, MemoryStore};
 use crossweir::node::roster_rows::RosterRows;
 use crossweir::node::shared::CELL_PARTITION;
 use crossweir::store::{
@@ -262,7 +262,7 @@
 
     for row in stored(&store).await {
         assert!(
-            row.value.len() < MOST_ROW_BYTES,
+            row.value.len() < MAX_ROW_BYTES,
             "{}: {}",
             row.key,
             row.value.len()
@@ -276,7 +276,7 @@
     let store = MemoryStore::default();
     let key = crossweir::store::RowKey::new(Table::Cells, CELL_PARTITION, "long");
     let mut tx = Transaction::default();
-    tx.puts.push((key, "x".repeat(MOST_ROW_BYTES + 1)));
+    tx.puts.push((key, "x".repeat(MAX_ROW_BYTES + 1)));
 
     let reply = store.call(StoreCall::Commit(tx)).await;
 
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -15,7 +15,7 @@
 };
 use crossweir::cell::record::JobProgress;
 use crossweir::clock::{Clock, Millis};
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::engine::Engine;
 use crossweir::node::links::Workers;
@@ -105,7 +105,7 @@
         let orders = counted;
         Arc::new(Counted { inner, orders })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(PlainDecoder));
+    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
     let entries: Vec<_> = (0..WORKERS).map(worker).collect();
     furnish(&node, &[queue("q", 0)], &entries);
     keep_ends(&node);
--- a/tests/told_configuration.rs
+++ b/tests/told_configuration.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use cell_core::queue;
-use crossweir::embedded::PlainDecoder;
+use crossweir::embedded::JsonDecoder;
 use crossweir::embedded::worker::MemoryWorkers;
 use crossweir::node::configuration;
 use crossweir::queue::{Configuration, Draft};
@@ -36,7 +36,7 @@
     let node = virtual_node_with(
         &vec![Relay::Works; usize::from(OTHERS)],
         |clock| Arc::new(MemoryWorkers::new(clock, std::iter::empty())),
-        Arc::new(PlainDecoder),
+        Arc::new(JsonDecoder),
     );
     write(&node, 1);
     node
--- a/tests/told_lapses.rs
+++ b/tests/told_lapses.rs
@@ -9,7 +9,7 @@
 use cell_core::{Bench, configuration, job, listed_end, queue, starts, step, worker};
 use crossweir::cell::Cell;
 use crossweir::cell::order::{EndKind, PollFailure};
-use crossweir::embedded::store::MOST_ROW_BYTES;
+use crossweir::embedded::store::MAX_ROW_BYTES;
 use crossweir::store::encode;
 
 /// How many starts the next owner orders at once of a task whose end the former owner noted
@@ -114,6 +114,6 @@
 
     let lapses = bench.cell.seal_silent(bench.now);
 
-    assert!(encode(&lapses).len() < MOST_ROW_BYTES);
+    assert!(encode(&lapses).len() < MAX_ROW_BYTES);
     assert!(!lapses.within.is_empty());
 }
--- a/tests/worker_lives.rs
+++ b/tests/worker_lives.rs
@@ -70,7 +70,7 @@
     let mut site = worked_site(1);
     site.restart(0, DOWN);
     for alive in site.alive.values_mut() {
-        alive.memory.fails = true;
+        alive.memory.fails_all_tasks = true;
     }
     site.pass(500);
 
@@ -156,7 +156,7 @@
         .next()
         .expect("a worker")
         .memory
-        .fails = true;
+        .fails_all_tasks = true;
     if changes_owner {
         site.take_over();
     }
@@ -173,7 +173,7 @@
     site.pass(2_000);
     site.store_is_up = true;
     for alive in site.alive.values_mut() {
-        alive.memory.fails = false;
+        alive.memory.fails_all_tasks = false;
     }
     let later = site.submit(300, vec![step(24, 1_000)]);
     site.pass(12_000);
@@ -199,7 +199,7 @@
 
     // Act
     for alive in site.alive.values_mut() {
-        alive.memory.tell(UNIX_START);
+        alive.memory.set_born(UNIX_START);
     }
     site.pass(3_000);
 
