--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures for tests of the scheduling core of a cell.
+//! Fixtures for tests of the scheduling core of a cell: configurations, jobs, workers, and a
+//! [`Bench`] that drives a core with simulated workers.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -21,10 +22,10 @@
 use crossweir::rpc::node::JobRequest;
 use crossweir::workspace::{Caller, Workspace, Workspaces};
 
-/// The service of all workers here.
+/// The service that all workers of these fixtures belong to.
 pub const SERVICE: &str = "svc";
 
-/// A queue without a placement policy.
+/// A queue that needs no advice, with two attempts per task.
 pub fn queue(name: &str, priority: u32) -> Queue {
     Queue {
         attempts: 2,
@@ -32,7 +33,7 @@
     }
 }
 
-/// A queue whose policy must be asked.
+/// A queue that needs advice for each start.
 pub fn advised_queue(name: &str, priority: u32) -> Queue {
     Queue {
         advice: Some(AdviceTiming {
@@ -44,7 +45,7 @@
     }
 }
 
-/// A configuration with these queues.
+/// A configuration with these queues and no workspaces.
 pub fn configuration(queues: &[Queue]) -> Arc<Configuration> {
     Arc::new(Configuration::from(Draft {
         version: 1,
@@ -54,7 +55,7 @@
     }))
 }
 
-/// A workspace whose tasks may hold so many cores.
+/// A workspace whose tasks may hold up to `cores` cores at a time.
 pub fn workspace(name: &str, cores: u64) -> Workspace {
     Workspace {
         name: name.to_owned(),
@@ -86,7 +87,7 @@
     }))
 }
 
-/// A worker with 16 cores.
+/// The entry of a worker with 16 cores.  Eight workers with consecutive numbers share a rack.
 pub fn worker(number: u16) -> WorkerEntry {
     WorkerEntry {
         life: Life::of(format!("w{number}")),
@@ -105,7 +106,7 @@
     }
 }
 
-/// A step of equal tasks.
+/// A step of equal tasks, with an estimate of 800 ms.
 pub fn step(tasks: u32, millicores: u64) -> Step {
     Step {
         tasks,
@@ -119,7 +120,7 @@
     }
 }
 
-/// A job's row.
+/// The row of a job without a workspace or a schedule.
 pub fn job(id: u64, queue: &Queue, steps: Vec<Step>) -> JobRow {
     JobRow {
         id: JobId(id),
@@ -133,7 +134,7 @@
     }
 }
 
-/// A question about a job, by whoever has no key.
+/// A request about a job, from a caller without a key.
 pub fn job_request(id: u64) -> JobRequest {
     JobRequest {
         job: JobId(id),
@@ -141,7 +142,7 @@
     }
 }
 
-/// A run that a worker lists.
+/// A worker's list entry for a run that goes on.
 pub fn listed_run(task: &str, number: u64) -> RunningEntry {
     RunningEntry {
         task: task.parse().expect("a task"),
@@ -152,10 +153,10 @@
     }
 }
 
-/// An end that a worker lists.
-pub fn listed_end(place: u64, task: &str, number: u64, how: EndKind) -> EndEntry {
+/// A worker's list entry for a run that has ended.
+pub fn listed_end(end_number: u64, task: &str, number: u64, how: EndKind) -> EndEntry {
     EndEntry {
-        end_number: place,
+        end_number,
         task: task.parse().expect("a task"),
         number,
         how,
@@ -163,27 +164,27 @@
     }
 }
 
-/// A core with workers that play along: starts succeed and run until they are ended.
+/// A core with simulated workers: all starts succeed, and runs go on until a test ends them.
 pub struct Bench {
-    /// The core.
     pub cell: Cell,
-    /// The time.
+    /// The current time of the owner and of all workers.
     pub now: Millis,
-    /// What runs, by worker.
+    /// The task and number of each run that goes on, by worker.
     pub running: BTreeMap<WorkerKey, Vec<(TaskName, u64)>>,
-    /// Work done by workers that stand still, in hundredths; others are as far as time.
+    /// The progress, in per cent, that workers in this map report for all their runs; the others
+    /// report a progress that advances with time.
     pub fixed_percent: BTreeMap<WorkerKey, u32>,
     ends: BTreeMap<WorkerKey, Vec<EndEntry>>,
     keys: Vec<WorkerKey>,
 }
 
 impl Bench {
-    /// Makes a core under epoch 1 with `workers` workers that are fenced.
+    /// Makes a core under epoch 1 with `workers` workers, all of them fenced.
     pub fn new(workers: u16, queues: &[Queue]) -> Self {
         Self::under(1, workers, queues)
     }
 
-    /// Makes a core under an epoch.
+    /// Makes a core under `epoch` with `workers` workers, all of them fenced.
     pub fn under(epoch: u64, workers: u16, queues: &[Queue]) -> Self {
         let mut cell = Cell::new(epoch, configuration(queues), 1_000);
         cell.set_lanes(&[true, true]);
@@ -195,7 +196,7 @@
         bench
     }
 
-    /// Puts workers behind a core of which none has answered yet.
+    /// Simulates the workers that `cell` knows.  None of them has been polled yet.
     pub fn with(cell: Cell, now: Millis) -> Self {
         let keys = cell.worker_keys();
         Self {
@@ -208,24 +209,25 @@
         }
     }
 
-    /// The worker with this number.
+    /// The key at position `number` of the core's worker keys, as they were when the bench was made.
     pub fn worker(&self, number: usize) -> WorkerKey {
         self.keys[number]
     }
 
-    /// Takes a new job in.
+    /// Hands a new job to the core.
     pub fn accept(&mut self, row: &JobRow) {
         self.cell.accept(row, None, false, self.now);
     }
 
-    /// Lets time pass without a word from anybody.
+    /// Advances time without any poll.  Changes of the roster count as recorded at once.
     pub fn pass(&mut self, time: Millis) {
         self.now += time;
         self.cell.tick(self.now);
         self.cell.mark_roster_recorded(self.cell.roster_version());
     }
 
-    /// Decides, and returns the orders.  Starts that are to be recorded first are, at once.
+    /// Runs a scheduling round and returns its orders.  Planned starts are recorded at once and
+    /// returned as well.
     pub fn decide(&mut self) -> Vec<Order> {
         let planned = self.cell.counts().planned;
         self.cell.schedule(self.now);
@@ -236,7 +238,7 @@
         self.cell.take_orders()
     }
 
-    /// Decides, and carries all starts out.
+    /// Runs a scheduling round and executes all of its starts.
     pub fn start_all(&mut self) -> Vec<StartOrder> {
         let starts = starts(&self.decide());
         for start in &starts {
@@ -245,7 +247,7 @@
         starts
     }
 
-    /// Carries one start out.
+    /// Executes one start, and answers it.
     pub fn start(&mut self, order: &StartOrder) {
         let runs = self
             .running
@@ -256,11 +258,11 @@
             .start_answered(order.run, StartOutcome::Started, Some(self.now), self.now);
     }
 
-    /// Ends a run that goes on.
+    /// Ends a run.  Its worker lists the end at the next poll.
     pub fn end(&mut self, task: TaskName, number: u64, how: EndKind) {
         for (key, runs) in &mut self.running {
-            if let Some(place) = runs.iter().position(|run| *run == (task, number)) {
-                runs.remove(place);
+            if let Some(index) = runs.iter().position(|run| *run == (task, number)) {
+                runs.remove(index);
                 let ends = self.ends.get_mut(key).expect("a known worker");
                 ends.push(EndEntry {
                     end_number: ends.len() as u64 + 1,
@@ -273,7 +275,8 @@
         }
     }
 
-    /// Looks at one worker.  Work goes on by a hundredth each 10 ms.
+    /// Polls one worker, which reports its runs and ends.  Progress advances by 1% each 10 ms,
+    /// unless it is set in `fixed_percent`.
     pub fn poll(&mut self, key: WorkerKey) {
         let moving = (self.now / 10 % 100) as u32;
         let percent = self.fixed_percent.get(&key).copied().unwrap_or(moving);
@@ -286,23 +289,23 @@
                 percent,
                 measurement: None,
             });
-        let look = PollReport {
+        let report = PollReport {
             born: None,
             clock: self.now,
             running: running.collect(),
             ended: self.ends[&key].clone(),
         };
-        self.poll_with_report(key, &look);
+        self.poll_with_report(key, &report);
     }
 
-    /// Looks at one worker, which answers at once.
-    pub fn poll_with_report(&mut self, key: WorkerKey, look: &PollReport) {
+    /// Polls one worker, which answers at once with `report`.
+    pub fn poll_with_report(&mut self, key: WorkerKey, report: &PollReport) {
         let order = self.cell.poll_order(key, self.now);
         let order = order.expect("a known worker");
-        self.cell.poll_answered(&order, look, self.now);
+        self.cell.poll_answered(&order, report, self.now);
     }
 
-    /// Looks at one worker a moment later, which lists this.
+    /// Polls one worker 10 ms later, which answers with these lists.
     pub fn poll_with_lists(
         &mut self,
         key: WorkerKey,
@@ -310,16 +313,16 @@
         ended: Vec<EndEntry>,
     ) {
         self.now += 10;
-        let look = PollReport {
+        let report = PollReport {
             born: None,
             clock: self.now,
             running,
             ended,
         };
-        self.poll_with_report(key, &look);
+        self.poll_with_report(key, &report);
     }
 
-    /// Looks at all workers, a moment later.
+    /// Polls all workers, 10 ms later.
     pub fn poll_all(&mut self) {
         self.now += 10;
         for key in self.keys.clone() {
@@ -327,7 +330,7 @@
         }
     }
 
-    /// Records all that has changed.
+    /// Records all pending changes of jobs, and returns them.
     pub fn record(&mut self) -> Batch {
         let batch = self.cell.take_batch(100);
         let copy = Batch {
@@ -339,13 +342,13 @@
         copy
     }
 
-    /// How far a job is.
+    /// The state of a job as callers see it.
     pub fn state(&self, id: u64) -> Option<JobState> {
         self.cell.state(JobId(id))
     }
 }
 
-/// The starts among orders.
+/// The starts among `orders`.
 pub fn starts(orders: &[Order]) -> Vec<StartOrder> {
     let start = |order: &Order| match order {
         Order::Start(start) => Some(start.clone()),
@@ -354,7 +357,7 @@
     orders.iter().filter_map(start).collect()
 }
 
-/// The stops among orders.
+/// The stops among `orders`.
 pub fn stops(orders: &[Order]) -> Vec<StopOrder> {
     let stop = |order: &Order| match order {
         Order::Stop(stop) => Some(stop.clone()),
@@ -363,7 +366,7 @@
     orders.iter().filter_map(stop).collect()
 }
 
-/// The questions among orders.
+/// The advice questions among `orders`.
 pub fn questions(orders: &[Order]) -> Vec<AdviceOrder> {
     let question = |order: &Order| match order {
         Order::Advise(question) => Some(question.clone()),
@@ -372,7 +375,7 @@
     orders.iter().filter_map(question).collect()
 }
 
-/// The ids of the workers that a question names.
+/// The ids of the workers that an advice question names.
 pub fn question_workers(question: &AdviceOrder) -> Vec<&str> {
     question.workers.iter().map(|(_, id)| id.as_str()).collect()
 }
--- a/tests/lives/mod.rs
+++ b/tests/lives/mod.rs
@@ -1,7 +1,7 @@
-//! Fixture: a cell whose workers start again under the id that they had.
+//! Fixture: a cell whose workers restart under the same id.
 //!
-//! Workers have clocks of their own, which begin anew with each life, and whatever they did is
-//! kept, so tests check what happened on the workers and not what the owner believes.
+//! Each life of a worker has its own clock, which starts with the life.  All runs of all lives are
+//! kept, so tests check what happened on the workers and not what the owner assumes.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -24,60 +24,62 @@
 
 use crate::cell_core::{configuration, job, queue, worker};
 
+/// The time between two scheduling rounds.
 const TICK: Millis = 10;
-/// The Unix time at the site's start, in ms.
+/// The Unix time, in milliseconds, at time 0 of a [`Site`].
 pub const UNIX_START: Millis = 1_700_000_000_000;
 
-/// One life of a worker, with a clock that began at its start.  All times are the site's.
+/// One life of a worker, whose clock reads 0 at its start.  Times passed in and returned are the
+/// site's, except where the worker's clock is named.
 pub struct WorkerLife {
-    /// What runs there.
+    /// The worker's state, in times of its own clock.
     pub memory: MemoryWorker,
     began: Millis,
 }
 
 impl WorkerLife {
-    /// A life whose clock began at `began`.
+    /// A life whose clock reads 0 at the time `began`.
     pub fn begun_at(began: Millis, memory: MemoryWorker) -> Self {
         Self { memory, began }
     }
 
-    /// When its clock began.
+    /// When the life's clock read 0.
     pub fn began(&self) -> Millis {
         self.began
     }
 
-    /// Carries a start out, and tells the clock.
+    /// Executes a start.  Returns its outcome and the time by the worker's clock.
     pub fn start(&mut self, order: &StartOrder, now: Millis) -> (StartOutcome, Millis) {
         let clock = now - self.began;
         (self.memory.start(order, clock), clock)
     }
 
-    /// Carries a stop out.
+    /// Executes a stop.
     pub fn stop(&mut self, order: &StopOrder, now: Millis) -> Result<(), Refusal> {
         self.memory.stop(order, now - self.began)
     }
 
-    /// Answers a look.
+    /// Answers a poll.
     pub fn poll(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
         self.memory.poll(order, now - self.began)
     }
 
-    /// Ends what has run its time or lost its lease.
+    /// Ends the runs that have run their time or whose lease has expired.
     pub fn settle(&mut self, now: Millis) {
         self.memory.end_due_runs(now - self.began);
     }
 
-    /// This life is over.
+    /// Ends this life, and all its runs, by a crash.
     pub fn crash(&mut self, now: Millis) {
         self.memory.crash(now - self.began);
     }
 
-    /// When everything that runs here ends unless the lease is renewed.
+    /// When the lease expires, and with it all runs, unless it is renewed.
     pub fn lease_end(&self) -> Millis {
         self.began + self.memory.lease_end()
     }
 
-    /// Every run, in the order of their beginnings.
+    /// All runs, in the order in which they began.
     pub fn runs(&self) -> impl Iterator<Item = RunRecord> {
         let at = |clock| self.began + clock;
         self.memory.history.iter().map(move |run| RunRecord {
@@ -88,30 +90,31 @@
     }
 }
 
-/// A cell with its workers and the rows that its owner has recorded.
+/// A cell, its workers, and the rows that its owners have recorded.
 pub struct Site {
-    /// The time.
+    /// The current time.
     pub now: Millis,
-    /// The owner's core.
+    /// The core of the present owner.
     pub cell: Cell,
-    /// The queue of all jobs.
+    /// The queue that all jobs are submitted to.
     pub queue: Queue,
-    /// What the platform lists.
+    /// The entry of each worker for its latest life.  A new owner reads all of them; the present
+    /// owner learns of a new life only by [`Site::list`].
     pub entries: Vec<WorkerEntry>,
-    /// The present life of each worker; none while it is down.
+    /// The present life of each worker that is up and reachable, by id.
     pub alive: BTreeMap<String, WorkerLife>,
-    /// The store takes what is recorded.
+    /// Whether the store accepts records.
     pub store_is_up: bool,
-    over: Vec<WorkerLife>,
+    ended_lives: Vec<WorkerLife>,
     epoch: u64,
-    jobs: u64,
+    job_count: u64,
     rows: BTreeMap<JobId, JobRow>,
     progress: BTreeMap<JobId, JobProgress>,
     roster: Vec<RosterEntry>,
 }
 
 impl Site {
-    /// A site whose workers tell when they started, under its first owner.
+    /// A site whose workers report when their life started, under its first owner.
     pub fn new(workers: u16) -> Self {
         let mut site = Self {
             now: 1_000,
@@ -120,22 +123,22 @@
             entries: (0..workers).map(worker).collect(),
             alive: BTreeMap::new(),
             store_is_up: true,
-            over: Vec::new(),
+            ended_lives: Vec::new(),
             epoch: 0,
-            jobs: 0,
+            job_count: 0,
             rows: BTreeMap::new(),
             progress: BTreeMap::new(),
             roster: Vec::new(),
         };
-        for place in 0..site.entries.len() {
-            site.begin_life(place);
+        for index in 0..site.entries.len() {
+            site.begin_life(index);
         }
         site.take_over();
         site.pass(200);
         site
     }
 
-    /// Another owner claims the cell and reads its rows.
+    /// A new owner claims the cell and reads the recorded rows.
     pub fn take_over(&mut self) {
         self.epoch = tuning::next_epoch(self.epoch);
         let config = configuration(std::slice::from_ref(&self.queue));
@@ -149,10 +152,10 @@
         }
     }
 
-    /// Takes a job in whose tasks run for `length` each.
+    /// Submits a job whose tasks run for `length` each.
     pub fn submit(&mut self, length: Millis, steps: Vec<Step>) -> JobId {
-        self.jobs += 1;
-        let mut row = job(self.jobs, &self.queue, steps);
+        self.job_count += 1;
+        let mut row = job(self.job_count, &self.queue, steps);
         row.spec.text = length.to_string();
         self.cell.accept(&row, None, false, self.now);
         let id = row.id;
@@ -160,43 +163,43 @@
         id
     }
 
-    /// The present life of a worker is over without a word.
-    pub fn end_life(&mut self, place: usize) {
-        let id = &self.entries[place].life.id;
+    /// Ends the present life of a worker without notice to the owner.
+    pub fn end_life(&mut self, index: usize) {
+        let id = &self.entries[index].life.id;
         let mut alive = self.alive.remove(id).expect("a worker that is up");
         alive.crash(self.now);
-        self.over.push(alive);
+        self.ended_lives.push(alive);
     }
 
-    /// The next life of a worker starts, under the same id.  The platform does not list it yet.
-    pub fn begin_life(&mut self, place: usize) {
-        let life = &mut self.entries[place].life;
+    /// Starts the next life of a worker, under the same id.  The platform does not list it yet.
+    pub fn begin_life(&mut self, index: usize) {
+        let life = &mut self.entries[index].life;
         life.born = Some(UNIX_START + self.now);
         let alive = WorkerLife::begun_at(self.now, MemoryWorker::born_at(UNIX_START + self.now));
         self.alive.insert(life.id.clone(), alive);
     }
 
-    /// The platform lists the present life of a worker.
-    pub fn list(&mut self, place: usize) {
-        let entry = self.entries[place].clone();
+    /// Tells the owner that the platform lists the present life of a worker.
+    pub fn list(&mut self, index: usize) {
+        let entry = self.entries[index].clone();
         self.cell.list_worker(entry, self.now);
     }
 
-    /// A worker goes on but is heard by nobody, and the platform drops its entry.
-    pub fn cut_off(&mut self, place: usize) -> WorkerLife {
-        let id = &self.entries[place].life.id;
+    /// Makes a worker unreachable while its runs go on; the platform drops its entry.
+    pub fn cut_off(&mut self, index: usize) -> WorkerLife {
+        let id = &self.entries[index].life.id;
         self.cell.unlist_worker(id, self.now);
         self.alive.remove(id).expect("a worker that is up")
     }
 
-    /// A worker that was cut off is heard and listed again.
-    pub fn reconnect(&mut self, place: usize, alive: WorkerLife) {
-        let id = self.entries[place].life.id.clone();
+    /// Makes a worker that was cut off reachable again; the platform lists it again.
+    pub fn reconnect(&mut self, index: usize, alive: WorkerLife) {
+        let id = self.entries[index].life.id.clone();
         self.alive.insert(id, alive);
-        self.list(place);
+        self.list(index);
     }
 
-    /// How many tasks of a job go on.
+    /// The number of runs of a job that go on, on workers that are reachable.
     pub fn count_running(&mut self, id: JobId) -> usize {
         let runs = self.runs_by_task();
         let of_job = runs.iter().filter(|(task, _)| task.step.job == id);
@@ -206,15 +209,15 @@
             .count()
     }
 
-    /// A worker is down for a while, and is listed when it is back.
-    pub fn restart(&mut self, place: usize, down: Millis) {
-        self.end_life(place);
+    /// Restarts a worker that is down for the time `down`, and lists its next life.
+    pub fn restart(&mut self, index: usize, down: Millis) {
+        self.end_life(index);
         self.pass(down);
-        self.begin_life(place);
-        self.list(place);
+        self.begin_life(index);
+        self.list(index);
     }
 
-    /// Time passes, with all that the owner does in it.
+    /// Advances time.  Each [`TICK`] the owner polls, runs a scheduling round and records.
     pub fn pass(&mut self, time: Millis) {
         let until = self.now + time;
         while self.now < until {
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Looks at all workers, which answer at once.
+    /// Polls all workers, which answer at once.
     pub fn poll_all(&mut self) {
         for key in self.cell.worker_keys() {
             if let Some(order) = self.cell.poll_order(key, self.now) {
@@ -234,7 +237,7 @@
         }
     }
 
-    /// A look arrives, and its answer is heard.
+    /// Delivers a poll to its worker, and the answer to the owner.
     pub fn answer_poll(&mut self, order: &PollOrder) {
         let now = self.now;
         let answer = match self.alive.get_mut(&order.to.life.id) {
@@ -242,12 +245,12 @@
             None => Err(PollFailure::Refused(Refusal::NotSent)),
         };
         match answer {
-            Ok(look) => self.cell.poll_answered(order, &look, now),
+            Ok(report) => self.cell.poll_answered(order, &report, now),
             Err(failure) => self.cell.poll_failed(order.to.worker, failure, now),
         }
     }
 
-    /// Decides, and carries all orders out at once.
+    /// Runs a scheduling round and executes all of its orders at once.
     pub fn decide(&mut self) {
         self.cell.tick(self.now);
         self.cell.schedule(self.now);
@@ -259,12 +262,13 @@
                         .start_answered(order.run, outcome, clock, self.now);
                 }
                 Order::Stop(order) => self.stop(&order),
-                Order::Advise(_) => unreachable!("no queue has a policy of placement"),
+                Order::Advise(_) => unreachable!("no queue needs advice"),
             }
         }
     }
 
-    /// A start arrives at the worker of the id that it is meant for.
+    /// Delivers a start to the present life of its worker, whichever life it was meant for.
+    /// Returns the outcome and the time by the worker's clock, if the worker is up.
     pub fn execute_start(&mut self, order: &StartOrder) -> (StartOutcome, Option<Millis>) {
         let now = self.now;
         let Some(alive) = self.alive.get_mut(&order.to.life.id) else {
@@ -277,7 +281,7 @@
         (outcome, Some(clock))
     }
 
-    /// No start takes a worker over the room that its present life has.
+    /// Asserts that the runs on a worker fit into the capacity of its present life.
     fn check_room(&self, id: &str) {
         let entry = self.entries.iter().find(|entry| entry.life.id == id);
         let capacity = entry.expect("a worker").capacity;
@@ -305,7 +309,7 @@
         }
     }
 
-    /// Records what has changed, if the store is up.
+    /// Records the roster and all pending changes of jobs, if the store is up.
     pub fn record(&mut self) {
         if !self.store_is_up {
             return;
@@ -320,28 +324,30 @@
         self.cell.batch_recorded(batch, self.now);
     }
 
-    /// How far a job is.
+    /// The state of a job as callers see it.
     pub fn state(&self, id: JobId) -> Option<JobState> {
         self.cell.state(id)
     }
 
-    /// What all lives of all workers have run, by task, in the order of their beginnings.
+    /// The runs of all lives of all workers, by task, in the order in which they began.  Lives that
+    /// are cut off are left out.
     pub fn runs_by_task(&mut self) -> BTreeMap<TaskName, Vec<RunRecord>> {
         let now = self.now;
-        let mut ran: BTreeMap<TaskName, Vec<RunRecord>> = BTreeMap::new();
-        for alive in self.alive.values_mut().chain(&mut self.over) {
+        let mut by_task: BTreeMap<TaskName, Vec<RunRecord>> = BTreeMap::new();
+        for alive in self.alive.values_mut().chain(&mut self.ended_lives) {
             alive.settle(now);
             for run in alive.runs() {
-                ran.entry(run.task).or_default().push(run);
+                by_task.entry(run.task).or_default().push(run);
             }
         }
-        for runs in ran.values_mut() {
+        for runs in by_task.values_mut() {
             runs.sort_unstable_by_key(|run| run.began);
         }
-        ran
+        by_task
     }
 
-    /// No task runs twice at once, or again after it has ended well, or more often than it may fail.
+    /// Asserts that no task ran twice at the same time, ended well twice or failed more often than
+    /// its queue allows.
     pub fn check_runs(&mut self) {
         let attempts = self.queue.attempts as usize;
         for (task, runs) in self.runs_by_task() {
