--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -1,4 +1,4 @@
-//! The scheduling core of a cell, event by event, with the time handed in.
+//! The scheduling core of a cell, driven event by event in virtual time.
 
 mod cell_core;
 
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn failures_that_are_told_out_of_order_all_count() {
-    // The first run is written off; the second fails; then the worker of the first is
-    // back and tells that the first had failed as well: that makes two of two attempts.
+fn failures_reported_out_of_order_all_count() {
+    // The first run is written off, and the second one fails. Then the worker of the first run is
+    // reachable again and reports that it had failed too, which uses up both attempts.
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
@@ -96,7 +96,7 @@
     assert!(again.number > order.number);
 }
 
-/// Lets time pass, with looks at `other` alone, until something starts or 10 s are over.
+/// Advances time, polling only `other`, until something starts or 10 s have passed.
 fn starts_elsewhere(bench: &mut Bench, other: WorkerKey) -> Vec<StartOrder> {
     let until = bench.now + 10_000;
     let mut started = Vec::new();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn another_life_at_the_address_proves_the_former_one_over() {
+fn another_life_at_the_address_proves_that_the_former_one_has_ended() {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
@@ -154,7 +154,7 @@
     bench.accept(&job(1, &q, vec![gang.clone()]));
     assert!(
         bench.start_all().is_empty(),
-        "eight places for nine members"
+        "there is room for eight of the nine members"
     );
     let eight = Step { tasks: 8, ..gang };
     bench.accept(&job(2, &q, vec![eight]));
@@ -167,12 +167,12 @@
     assert_eq!(
         bench.state(2),
         Some(JobState::Succeeded),
-        "one end counts for all"
+        "the end of one member counts for all"
     );
 }
 
 #[test]
-fn a_start_brings_a_ticket_and_old_ones_are_not_used() {
+fn starts_carry_tickets_and_expired_tickets_are_not_used() {
     let q = advised_queue("q", 0);
     let mut bench = Bench::new(4, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(4, 8_000)]));
@@ -180,7 +180,11 @@
     let good = vec![(question.workers[0].1.clone(), String::from("t1"))];
     bench.cell.advised(&question, Some(good), bench.now);
     let first = bench.start_all();
-    assert_eq!(first.len(), 2, "one good worker holds two tasks of 8 cores");
+    assert_eq!(
+        first.len(),
+        2,
+        "one approved worker holds two tasks of 8 cores"
+    );
     assert!(first.iter().all(|s| s.ticket.as_deref() == Some("t1")));
     for order in &first {
         bench.end(order.task, order.number, EndKind::Done);
@@ -188,7 +192,7 @@
     bench.pass(2_600);
     bench.poll_all();
     let orders = bench.decide();
-    assert!(starts(&orders).is_empty(), "the ticket is too old");
+    assert!(starts(&orders).is_empty(), "the ticket has expired");
     assert_eq!(questions(&orders)[0].workers[0].1, question.workers[0].1);
 }
 
@@ -214,7 +218,7 @@
     former.accept(&row);
     let orders = former.start_all();
     let mut next = Bench::under(2, 2, std::slice::from_ref(&q));
-    // A third worker does not answer, so what ran there is not known.
+    // A third worker does not answer, so the successor cannot know what runs there.
     let silent = cell_core::worker(7);
     let mut cell = crossweir::cell::Cell::new(
         2,
@@ -222,7 +226,10 @@
         next.now,
     );
     let listed = [cell_core::worker(0), cell_core::worker(1), silent];
-    let listed = listed.into_iter().map(|entry| left(entry, None)).collect();
+    let listed = listed
+        .into_iter()
+        .map(|entry| roster_entry(entry, None))
+        .collect();
     cell.restore_roster(listed, next.now);
     next.cell = cell;
     next.cell.accept(&row, None, true, next.now);
@@ -234,7 +241,7 @@
             .expect("a start")
     };
     let zero = at("w0");
-    let look = crossweir::cell::order::PollReport {
+    let report = crossweir::cell::order::PollReport {
         born: None,
         clock: next.now,
         running: vec![crossweir::cell::order::RunningEntry {
@@ -251,19 +258,19 @@
         clock: next.now,
         ..Default::default()
     };
-    next.poll_with_report(keys[0], &look);
+    next.poll_with_report(keys[0], &report);
     next.poll_with_report(keys[1], &empty);
     next.pass(0);
     assert!(
         starts(&next.decide()).is_empty(),
-        "the other may run on the silent worker"
+        "the other task may run on the silent worker"
     );
     next.now += 6_000;
-    next.poll_with_report(keys[0], &look);
+    next.poll_with_report(keys[0], &report);
     next.poll_with_report(keys[1], &empty);
     next.pass(0);
     let late = starts(&next.decide());
-    assert_eq!(late.len(), 1, "only the one that was not found");
+    assert_eq!(late.len(), 1, "only the task that was not found running");
     assert_ne!(late[0].task, zero.task);
     assert!(late[0].number > zero.number);
 }
@@ -304,7 +311,7 @@
     assert_eq!(ids, ["w0"]);
 }
 
-/// A gang of eight on two workers of four places each, with its starts ordered.
+/// Submits a gang of eight, which fills two workers with four members each.
 fn gang_of_eight(bench: &mut Bench, q: &crossweir::queue::Queue) {
     let gang = Step {
         gang: true,
@@ -315,7 +322,7 @@
 
 #[test]
 fn a_gang_is_stopped_when_a_members_worker_turns_out_to_be_gone() {
-    // One member is alone on the third worker, so nothing else there speaks for it.
+    // One member is alone on the third worker, so only its own start shows that the worker is gone.
     let q = queue("q", 0);
     let mut bench = Bench::new(3, std::slice::from_ref(&q));
     let gang = Step {
@@ -336,7 +343,11 @@
         .expect("a member alone on its worker");
     let gone = StartOutcome::Refused(Refusal::Gone);
     bench.cell.start_answered(single.run, gone, None, bench.now);
-    assert_eq!(stops(&bench.decide()).len(), 8, "the other members");
+    assert_eq!(
+        stops(&bench.decide()).len(),
+        8,
+        "the other members are stopped"
+    );
 }
 
 #[test]
@@ -366,8 +377,9 @@
     assert_eq!(stops(&bench.decide()).len(), 8);
 }
 
-/// Two tasks of eight cores on two workers, one of which stands still.
-fn one_of_two_stands_still(step: Step) -> (Bench, crossweir::cell::order::StartOrder) {
+/// Starts two tasks and lets one of them report a progress of 5% for half a second, while the
+/// other one advances. Each task fills one of three workers. Returns the start of the stalled one.
+fn start_two_and_stall_one(step: Step) -> (Bench, crossweir::cell::order::StartOrder) {
     let q = queue("q", 0);
     let mut bench = Bench::new(3, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step]));
@@ -382,8 +394,8 @@
 }
 
 #[test]
-fn a_run_that_stands_still_is_stopped_and_starts_elsewhere() {
-    let (mut bench, order) = one_of_two_stands_still(step(2, 16_000));
+fn a_stalled_run_is_stopped_and_starts_elsewhere() {
+    let (mut bench, order) = start_two_and_stall_one(step(2, 16_000));
     let stop = stops(&bench.decide()).remove(0);
     assert_eq!((stop.task, stop.number), (order.task, order.number));
     bench.end(order.task, order.number, EndKind::Stopped);
@@ -399,7 +411,7 @@
         copies: true,
         ..step(2, 16_000)
     };
-    let (mut bench, order) = one_of_two_stands_still(copied);
+    let (mut bench, order) = start_two_and_stall_one(copied);
     let orders = bench.decide();
     assert!(stops(&orders).is_empty(), "the slow run goes on");
     let copy = starts(&orders).remove(0);
@@ -410,7 +422,7 @@
     let stop = stops(&bench.decide()).remove(0);
     assert_eq!(
         stop.number, order.number,
-        "the other copy is not needed any more"
+        "the slow run is not needed any more"
     );
 }
 
@@ -440,14 +452,14 @@
 }
 
 #[test]
-fn a_wrong_guess_alone_does_not_make_a_run_slow() {
+fn a_wrong_estimate_alone_does_not_make_a_run_slow() {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
-    let guessed = Step {
+    let underestimated = Step {
         estimate: 100,
         ..step(1, 1_000)
     };
-    bench.accept(&job(1, &q, vec![guessed]));
+    bench.accept(&job(1, &q, vec![underestimated]));
     bench.start_all();
     for _ in 0..9 {
         bench.pass(100);
@@ -456,8 +468,8 @@
     assert!(stops(&bench.decide()).is_empty());
 }
 
-/// A job of one task that runs three times, a second apart from time 10,000 on.
-fn timed_job(q: &crossweir::queue::Queue) -> crossweir::cell::record::JobRow {
+/// A job of one task with three occurrences, a second apart from time 10,000 on.
+fn scheduled_job(q: &crossweir::queue::Queue) -> crossweir::cell::record::JobRow {
     let mut row = job(1, q, vec![step(1, 1_000)]);
     row.spec.schedule = Some(Schedule {
         times: 3,
@@ -472,7 +484,7 @@
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
     bench.cell.set_wall_clock(9_999);
-    bench.accept(&timed_job(&q));
+    bench.accept(&scheduled_job(&q));
     assert!(bench.start_all().is_empty());
     bench.cell.set_wall_clock(12_000);
     bench.pass(10);
@@ -488,11 +500,11 @@
 }
 
 #[test]
-fn a_successor_knows_which_times_of_a_scheduled_job_are_done() {
+fn a_successor_knows_which_occurrences_of_a_scheduled_job_are_done() {
     let q = queue("q", 0);
     let mut former = Bench::new(1, std::slice::from_ref(&q));
     former.cell.set_wall_clock(11_000);
-    former.accept(&timed_job(&q));
+    former.accept(&scheduled_job(&q));
     let second = former.start_all().remove(1);
     former.end(second.task, second.number, EndKind::Done);
     former.poll_all();
@@ -501,13 +513,18 @@
     next.cell.set_wall_clock(11_000);
     let now = next.now;
     next.cell
-        .accept(&timed_job(&q), Some(&progress), false, now);
+        .accept(&scheduled_job(&q), Some(&progress), false, now);
     let again = next.start_all();
     let times: Vec<u32> = again.iter().map(|order| order.task.step.time).collect();
-    assert_eq!(times, [0], "the second time is done, the third is not due");
+    assert_eq!(
+        times,
+        [0],
+        "the second occurrence is done, the third is not due"
+    );
 }
 
-fn ended_and_not_recorded(q: &crossweir::queue::Queue) -> Bench {
+/// A core on which the only task of job 1 has ended, while that end is not recorded yet.
+fn bench_with_unrecorded_end(q: &crossweir::queue::Queue) -> Bench {
     let mut bench = Bench::new(1, std::slice::from_ref(q));
     bench.accept(&job(1, q, vec![step(1, 1_000)]));
     let start = bench.start_all().remove(0);
@@ -520,7 +537,7 @@
 fn an_end_is_shown_before_it_is_recorded_once_another_node_knows_of_it() {
     // Arrange.
     let q = queue("q", 0);
-    let mut bench = ended_and_not_recorded(&q);
+    let mut bench = bench_with_unrecorded_end(&q);
     let before = bench.state(1);
 
     // Act.
@@ -530,20 +547,23 @@
     // Assert.
     assert_eq!(before, Some(JobState::Running));
     assert_eq!(bench.state(1), Some(JobState::Succeeded));
-    assert!(!bench.cell.is_end_recorded(JobId(1)), "its row must stay");
+    assert!(
+        !bench.cell.is_end_recorded(JobId(1)),
+        "its row must be kept"
+    );
     bench.record();
     assert!(bench.cell.is_end_recorded(JobId(1)));
     assert_eq!(bench.cell.unrecorded_job_ends(), []);
 }
 
 #[test]
-fn a_successor_starts_nothing_of_a_job_whose_end_another_node_tells() {
-    // Arrange: the worker that has listed the end is gone together with the owner.
+fn a_successor_starts_nothing_of_a_job_whose_end_another_node_reports() {
+    // Arrange: the worker that listed the end is lost together with the owner.
     let q = queue("q", 0);
-    let ends = ended_and_not_recorded(&q).cell.unrecorded_job_ends();
+    let ends = bench_with_unrecorded_end(&q).cell.unrecorded_job_ends();
     let mut next = Bench::under(2, 2, std::slice::from_ref(&q));
 
-    // Act: one node tells before the row is read, another one after.
+    // Act: one node reports the end before the row is read, another one after that.
     for (id, state) in &ends {
         next.cell.accept_peer_end(*id, *state);
     }
@@ -557,15 +577,12 @@
     assert_eq!(unread, Some(JobState::Succeeded));
     assert_eq!(next.start_all().len(), 0);
     assert_eq!(next.state(1), Some(JobState::Succeeded));
-    assert_eq!(
-        next.record().rows.len(),
-        1,
-        "it is recorded by the successor"
-    );
+    assert_eq!(next.record().rows.len(), 1, "the successor records it");
 }
 
-/// A worker as a former owner's roster names it, with the jobs that it may run.
-fn left(worker: WorkerEntry, jobs: Option<Vec<JobId>>) -> RosterEntry {
+/// The entry of a worker in a former owner's roster, with the jobs that it may run, or `None` for
+/// any job.
+fn roster_entry(worker: WorkerEntry, jobs: Option<Vec<JobId>>) -> RosterEntry {
     RosterEntry {
         worker,
         jobs,
@@ -576,16 +593,16 @@
 
 #[test]
 fn a_successor_passes_on_a_worker_that_it_never_reached() {
-    // Arrange: a former owner used a worker that is cut off since, and runs on.
+    // Arrange: a former owner used a worker that has been cut off since, and whose runs go on.
     let mut cell = Cell::new(2, configuration(&[]), 1_000);
-    cell.restore_roster(vec![left(worker(9), None)], 1_000);
+    cell.restore_roster(vec![roster_entry(worker(9), None)], 1_000);
     let cut = cell.worker_keys()[0];
 
     // Act.
     cell.poll_failed(cut, PollFailure::Unanswered, 1_050);
     cell.tick(1_100);
 
-    // Assert: the next owner must wait for it as well.
+    // Assert: the next owner must wait for the worker as well, so it stays in the roster.
     let (_, roster) = cell.roster();
     assert!(
         roster.iter().any(|entry| entry.worker.life.id == "w9"),
@@ -594,8 +611,8 @@
 }
 
 #[test]
-fn a_silent_worker_is_recorded_with_its_jobs_and_used_again_only_when_that_is_taken_back() {
-    // Arrange: a job runs, its worker is silent for a while.
+fn a_silent_worker_is_recorded_with_its_jobs_and_used_again_only_when_that_is_withdrawn() {
+    // Arrange: a job runs, and its worker is silent for 200 ms, so the roster names its jobs.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
@@ -607,7 +624,7 @@
     bench.pass(200);
     let (_, named) = bench.cell.roster();
 
-    // Act: it answers again, and another job comes.
+    // Act: it answers again, and another job is submitted.
     bench.now += 10;
     bench.poll(silent);
     bench.accept(&job(2, &q, vec![step(1, 1_000)]));
@@ -625,10 +642,13 @@
 
 #[test]
 fn a_successor_waits_for_a_lost_worker_only_with_the_jobs_that_it_may_run() {
-    // Arrange: of two workers one is dark; it may run job 1 alone.
+    // Arrange: one of two workers does not answer; by the roster it can run only job 1.
     let q = queue("q", 0);
     let mut cell = Cell::new(2, configuration(std::slice::from_ref(&q)), 1_000);
-    let roster = vec![left(worker(0), None), left(worker(1), Some(vec![JobId(1)]))];
+    let roster = vec![
+        roster_entry(worker(0), None),
+        roster_entry(worker(1), Some(vec![JobId(1)])),
+    ];
     cell.restore_roster(roster, 1_000);
     let mut bench = Bench::with(cell, 1_000);
     for id in [1, 2] {
@@ -645,7 +665,7 @@
         .poll_failed(lost, PollFailure::Unanswered, bench.now);
     bench.pass(100);
     let early = bench.start_all();
-    let (_, passed_on) = bench.cell.roster();
+    let (_, next_roster) = bench.cell.roster();
     bench.pass(6_000);
     bench.poll(reached);
     let late = bench.start_all();
@@ -656,9 +676,11 @@
         ids.collect::<Vec<JobId>>()
     };
     assert_eq!(job_of(&early), [JobId(2)]);
-    let entry = passed_on.iter().find(|entry| entry.worker.life.id == "w1");
+    let entry = next_roster
+        .iter()
+        .find(|entry| entry.worker.life.id == "w1");
     let jobs = entry.and_then(|entry| entry.jobs.clone());
-    assert_eq!(jobs, Some(vec![JobId(1)]), "a third owner must know");
+    assert_eq!(jobs, Some(vec![JobId(1)]), "a third owner must know of it");
     assert_eq!(job_of(&late), [JobId(1)]);
 }
 
@@ -677,10 +699,10 @@
     // Act.
     bench.end(start.task, start.number, EndKind::Stopped);
     bench.poll_all();
-    let over = bench.cell.forget_job(JobId(1));
+    let ended = bench.cell.forget_job(JobId(1));
 
     // Assert.
-    assert_eq!((unrecorded, running, over), (false, false, true));
+    assert_eq!((unrecorded, running, ended), (false, false, true));
     assert_eq!(bench.state(1), None);
     assert!(
         bench.cell.forget_job(JobId(1)),
@@ -697,7 +719,8 @@
     bench.accept(&job(1, &q, vec![step(1, 16_000)]));
     let first = bench.start_all();
 
-    // Act: a second job finds room on it alone, a third one comes later.
+    // Act: only the unlisted worker has room for a second job; a third one is submitted after more
+    // than `tuning::GONE_AFTER`.
     bench.accept(&job(2, &q, vec![step(1, 8_000)]));
     let second = bench.start_all();
     for _ in 0..30 {
@@ -716,8 +739,9 @@
 }
 
 #[test]
-fn a_look_that_was_overtaken_brings_nothing_back() {
-    // Arrange: a look shows a run, and is overtaken by one that shows its end.
+fn an_overtaken_poll_does_not_restore_an_ended_run() {
+    // Arrange: the answer to a poll shows a run, and is overtaken by that to a later poll, which
+    // shows the end of the run.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
@@ -743,7 +767,7 @@
     // Act.
     bench.cell.poll_answered(&order, &overtaken, bench.now);
 
-    // Assert: the task starts again, since nothing of it runs.
+    // Assert: the task starts again, since no run of it goes on.
     assert_eq!(bench.cell.counts().adopted, 0);
     assert_eq!(bench.start_all().len(), 1);
 }
@@ -764,13 +788,13 @@
 
     assert!(short.rows[0].2.tasks.is_empty());
     assert_eq!(bench.state(1), Some(JobState::Failed));
-    assert_eq!(stops(&bench.decide()).len(), 1, "what still ran is stopped");
+    assert_eq!(stops(&bench.decide()).len(), 1, "the other task is stopped");
 }
 
 #[test]
 fn an_end_of_a_job_that_could_not_be_read_yet_is_neither_lost_nor_forgotten() {
-    // Arrange: a worker has ended a task that a former owner started, and the row of its
-    // job lies in a partition that cannot be read at first.
+    // Arrange: a worker lists the end of a task that a former owner started, while the row of its
+    // job is in a partition of the store that cannot be read yet.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     bench.cell.set_has_unread_jobs(true);
@@ -784,7 +808,7 @@
         how: EndKind::Done,
         checkpoint: String::new(),
     };
-    let mut look = PollReport {
+    let mut report = PollReport {
         born: None,
         clock: bench.now,
         running: Vec::new(),
@@ -792,24 +816,24 @@
     };
 
     // Act.
-    bench.poll_with_report(worker, &look);
+    bench.poll_with_report(worker, &report);
     bench.record();
-    let forgotten = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
+    let forget = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
     bench.cell.accept(&row, None, true, bench.now);
     bench.cell.set_has_unread_jobs(false);
     bench.now += 10;
-    look.clock = bench.now;
-    bench.poll_with_report(worker, &look);
+    report.clock = bench.now;
+    bench.poll_with_report(worker, &report);
     let started = starts(&bench.decide());
 
     // Assert.
-    assert_eq!(forgotten, Some(0));
+    assert_eq!(forget, Some(0));
     assert!(started.is_empty(), "its task is done");
 }
 
 #[test]
-fn a_job_that_is_read_late_waits_for_workers_that_run_what_nobody_knew() {
-    // Arrange: a worker runs a task of a job whose row could not be read at first.
+fn a_job_that_is_read_late_waits_for_workers_with_unknown_runs() {
+    // Arrange: a worker runs a task of a job whose row cannot be read yet.
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
     bench.cell.set_has_unread_jobs(true);
@@ -818,7 +842,7 @@
     bench.running.insert(worker, vec![(task, 5)]);
     bench.poll_all();
 
-    // Act: the row is read, and only then the worker is looked at again.
+    // Act: the row is read, and only then the worker is polled again.
     let row = job(7, &q, vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
     bench.cell.set_has_unread_jobs(false);
@@ -827,19 +851,23 @@
     let after = starts(&bench.decide());
 
     // Assert.
-    assert!(before.is_empty(), "it may run");
-    assert!(after.is_empty(), "it does run");
+    assert!(before.is_empty(), "the task may run on the worker");
+    assert!(after.is_empty(), "the task runs on the worker");
     assert_eq!(bench.cell.counts().adopted, 1);
 }
 
 #[test]
-fn a_run_that_was_taken_over_is_not_written_off_before_its_former_lease() {
-    // Arrange: a former owner's run is found on a worker, which then falls silent at once.
+fn a_run_that_was_taken_over_is_not_written_off_before_its_former_lease_ends() {
+    // Arrange: a successor takes over a run that a worker lists; the worker then falls silent
+    // before a poll could renew the lease that the former owner gave.
     let q = queue("q", 0);
     let config = cell_core::configuration(std::slice::from_ref(&q));
     let mut cell = crossweir::cell::Cell::new(2, config, 1_000);
     let listed = [worker(0), worker(1)];
-    let listed = listed.into_iter().map(|entry| left(entry, None)).collect();
+    let listed = listed
+        .into_iter()
+        .map(|entry| roster_entry(entry, None))
+        .collect();
     cell.restore_roster(listed, 1_000);
     let mut bench = Bench::with(cell, 1_000);
     let row = job(1, &q, vec![step(1, 1_000)]);
@@ -859,5 +887,5 @@
     // Assert.
     assert_eq!(bench.cell.counts().adopted, 1);
     assert_eq!(again[0].to.worker, other);
-    assert!(bench.now - began > 3_500, "its lease of 3.5 s may go on");
+    assert!(bench.now - began > 3_500, "the lease of 3.5 s has run out");
 }
--- a/tests/cell_core/mod.rs
+++ b/tests/cell_core/mod.rs
@@ -209,7 +209,8 @@
         }
     }
 
-    /// The key at position `number` of the core's worker keys, as they were when the bench was made.
+    /// The key at position `number` of the core's worker keys, as they were when the bench was
+    /// made.
     pub fn worker(&self, number: usize) -> WorkerKey {
         self.keys[number]
     }
