--- a/tests/worker_lives.rs
+++ b/tests/worker_lives.rs
@@ -1,17 +1,17 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
 //!
-//! Seen: on a site with 48 workers, 17 of them started again under their ids.  In the seconds after,
-//! tasks were started again that had ended well, and one was started a third time after two failed runs.
-//! How it came about: the new life numbers its ends from 1, while the owner went on with the
-//! count of the former one.  Ends that were not above that count passed for taken in: the next look
-//! told the worker to forget them, and a list then showed neither run nor end, so the run was taken for
-//! lost.  Cause: what an owner keeps of a worker was kept by its id, and an id is no life.  Proof: in the
-//! logs all 59 runs whose worker is known were on workers that had started again, and each of these lost its ends from the
-//! first one until its numbers had passed the former count; the others lost none of 599.  Ends that are done or
-//! failed are lost alike, so both reports have this one cause.
+//! Guards against tasks that are started again after they ended well, or more often than their
+//! attempts allow, once a worker has restarted.  A new life numbers its ends from 1.  An owner that
+//! went on with the count of the former life took ends up to that count for accepted ones: the next
+//! poll told the worker to forget them, a list then showed neither run nor end, and the run was
+//! taken for lost.  The cause was that the state of a worker was kept by its id, which outlives a
+//! life.  In one incident 17 of 48 workers restarted under their ids.  All 59 runs lost in this way
+//! whose worker is known were on these, each of which lost its ends from the first one until their
+//! numbers had passed the former count; the other workers lost none of 599
+//! (docs/incidents/workers-that-start-again.md).
 //!
-//! The load: each worker has ended 20 short tasks before it starts again, some seconds' work on that
-//! site, and is down for 2.5 s; what it runs then ends at numbers far below.
+//! Here each worker has ended 20 short tasks, some seconds' work, before it restarts, and is down
+//! for 2.5 s, so the ends of its next life have numbers far below the former count.
 
 mod cell_core;
 mod lives;
@@ -23,12 +23,14 @@
 use lives::{Site, UNIX_START, WorkerLife};
 use yare::parameterized;
 
-/// Ends that the former life has listed, all of them recorded and forgotten.
+/// The number of ends that the former life of each worker has listed, all of them recorded and
+/// forgotten.
 const FORMER_ENDS: u32 = 20;
+/// How long a worker is down before its next life starts, in milliseconds.
 const DOWN: u64 = 2_500;
 
-/// A site on which each worker has run some tasks to their ends.
-fn worked_site(workers: u16) -> Site {
+/// A site on which each worker has run [`FORMER_ENDS`] tasks to their ends.
+fn site_with_history(workers: u16) -> Site {
     let mut site = Site::new(workers);
     let tasks = FORMER_ENDS * u32::from(workers);
     let id = site.submit(50, vec![step(tasks, 4_000)]);
@@ -37,9 +39,9 @@
     site
 }
 
-/// The first worker goes on for longer than any lease and is heard by nobody, while another one is there;
-/// then it is heard again.
-fn go_on_unheard(site: &mut Site, alive: WorkerLife) {
+/// Adds a second worker and lets 12 s pass, longer than any lease, while the first worker is
+/// unreachable; then the first one is reachable again.
+fn add_worker_and_reconnect(site: &mut Site, alive: WorkerLife) {
     site.entries.push(worker(1));
     site.begin_life(1);
     site.list(1);
@@ -51,7 +53,7 @@
 #[test]
 fn what_ended_well_in_a_later_life_is_not_started_again() {
     // Arrange
-    let mut site = worked_site(1);
+    let mut site = site_with_history(1);
     site.restart(0, DOWN);
     site.pass(500);
 
@@ -67,7 +69,7 @@
 #[test]
 fn what_failed_in_a_later_life_counts_as_an_attempt() {
     // Arrange
-    let mut site = worked_site(1);
+    let mut site = site_with_history(1);
     site.restart(0, DOWN);
     for alive in site.alive.values_mut() {
         alive.memory.fails_all_tasks = true;
@@ -84,9 +86,10 @@
 }
 
 #[test]
-fn a_worker_that_was_lost_and_comes_back_is_heard_again() {
-    // Arrange: a life that has seen an epoch of its own is cut off, and the platform drops it.
-    let mut site = worked_site(2);
+fn a_worker_that_was_lost_and_comes_back_is_used_again() {
+    // Arrange: a life that was given an epoch of its own is cut off, and the platform drops its
+    // entry.
+    let mut site = site_with_history(2);
     site.restart(0, 100);
     site.pass(500);
     let cut = site.cut_off(0);
@@ -98,24 +101,25 @@
     let id = site.submit(900, vec![step(12, 4_000)]);
     site.pass(700);
 
-    // Assert: two workers hold eight such tasks at once, one holds four.
+    // Assert: two workers have room for eight such tasks, one for four.
     assert_eq!(site.count_running(id), 8);
     site.check_runs();
 }
 
-/// What tells the owner first that another life has begun.
+/// What first shows the owner that another life has begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum First {
-    /// The platform lists it.
+    /// The platform lists the new life.
     Row,
-    /// It answers a look.
-    Look,
-    /// It answers a start.
+    /// The new life answers a poll.
+    Poll,
+    /// The new life answers a start.
     Start,
 }
 
-/// A worker starts again at once or after a silence, with half of its room and failing what it
-/// runs, while work goes on and waits; whatever the owner kept of the former life must not count.
+/// A worker restarts at once or after a silence.  Its next life has half of the capacity and fails
+/// all tasks, while tasks run and wait on the site.  No state that the owner kept of the former
+/// life may be applied to the next one.
 #[parameterized(
     row = { First::Row, 0, true, false },
     row_after_silence = { First::Row, 300, true, false },
@@ -123,25 +127,25 @@
     row_after_silence_without_store = { First::Row, 300, false, false },
     row_under_another_owner = { First::Row, 0, true, true },
     row_after_silence_under_another_owner = { First::Row, 300, true, true },
-    look = { First::Look, 0, true, false },
-    look_after_silence = { First::Look, 300, true, false },
-    look_without_store = { First::Look, 0, false, false },
-    look_after_silence_without_store = { First::Look, 300, false, false },
-    look_under_another_owner = { First::Look, 0, true, true },
-    look_after_silence_under_another_owner = { First::Look, 300, true, true },
+    poll = { First::Poll, 0, true, false },
+    poll_after_silence = { First::Poll, 300, true, false },
+    poll_without_store = { First::Poll, 0, false, false },
+    poll_after_silence_without_store = { First::Poll, 300, false, false },
+    poll_under_another_owner = { First::Poll, 0, true, true },
+    poll_after_silence_under_another_owner = { First::Poll, 300, true, true },
     start = { First::Start, 0, true, false },
     start_without_store = { First::Start, 0, false, false },
-    look_after_a_lease = { First::Look, 6_000, true, false },
-    look_after_a_lease_under_another_owner = { First::Look, 6_000, true, true },
+    poll_after_a_lease = { First::Poll, 6_000, true, false },
+    poll_after_a_lease_under_another_owner = { First::Poll, 6_000, true, true },
 )]
-fn nothing_that_is_kept_of_a_life_counts_for_the_next(
+fn state_of_a_former_life_is_not_applied_to_the_next_one(
     first: First,
     down: u64,
     store_is_up: bool,
     changes_owner: bool,
 ) {
-    // Arrange: three workers full of work, and more that waits for room.
-    let mut site = worked_site(3);
+    // Arrange: three full workers, and more tasks that wait for room.
+    let mut site = site_with_history(3);
     let filling = site.submit(700, vec![step(24, 4_000)]);
     site.pass(200);
     site.store_is_up = store_is_up;
@@ -162,7 +166,7 @@
     }
     match first {
         First::Row => site.list(0),
-        First::Look => {}
+        First::Poll => {}
         First::Start => {
             let _ = site.submit(300, vec![step(2, 100)]);
             site.decide();
@@ -185,12 +189,13 @@
 }
 
 #[test]
-fn a_life_that_begins_to_tell_of_its_start_goes_on() {
-    // Arrange: a worker that does not tell when it started runs four tasks.
+fn a_life_that_begins_to_report_its_start_time_goes_on() {
+    // Arrange: a worker that does not report when its life started runs four tasks.
     let mut site = Site::new(1);
-    let silent = WorkerLife::begun_at(site.now, MemoryWorker::default());
+    let unreported = WorkerLife::begun_at(site.now, MemoryWorker::default());
     site.entries[0].life.born = None;
-    site.alive.insert(site.entries[0].life.id.clone(), silent);
+    site.alive
+        .insert(site.entries[0].life.id.clone(), unreported);
     site.pass(200);
     site.list(0);
     site.pass(200);
@@ -216,9 +221,10 @@
 }
 
 #[test]
-fn two_workers_of_one_id_get_no_work_until_one_is_gone() {
-    // Arrange: each answers in turn, one of them after the other has followed it.
-    let mut site = worked_site(2);
+fn two_workers_with_one_id_get_no_work_until_one_is_gone() {
+    // Arrange: two processes answer under one id in turn, the one that started earlier also after
+    // the later one has replaced it, so neither can be the only life.
+    let mut site = site_with_history(2);
     site.restart(0, 0);
     site.pass(500);
     let _second = site.cut_off(0);
@@ -232,7 +238,8 @@
     let id = site.submit(900, vec![step(8, 4_000)]);
     site.pass(300);
 
-    // Assert: only the other worker has room, until the first one has been alone for long.
+    // Assert: only the other worker is used, until a single process has answered under the id for
+    // long.
     assert_eq!(site.count_running(id), 4);
     site.pass(30_000);
     let later = site.submit(900, vec![step(8, 4_000)]);
@@ -240,9 +247,9 @@
     assert_eq!(site.count_running(later), 8);
 }
 
-/// A worker whose last ends are recorded, and which it has not been told to forget yet.
+/// A site whose worker keeps ends that are recorded and that it was not told to forget yet.
 fn site_with_recorded_ends() -> Site {
-    let mut site = worked_site(1);
+    let mut site = site_with_history(1);
     site.pass(10_000);
     let id = site.submit(50, vec![step(2, 1_000)]);
     site.decide();
@@ -260,7 +267,7 @@
     let key = site.cell.worker_keys()[0];
     let before = site.cell.poll_order(key, site.now).expect("a worker");
 
-    // Act: the worker starts again unnoticed, and a start goes there before any look.
+    // Act: the worker restarts unnoticed, and a start is sent to it before any poll.
     site.end_life(0);
     site.begin_life(0);
     let id = site.submit(300, vec![step(1, 1_000)]);
@@ -274,40 +281,42 @@
 }
 
 #[test]
-fn a_worker_that_is_listed_with_another_start_is_asked_and_nothing_else() {
+fn a_worker_listed_with_another_start_time_is_only_polled() {
     // Arrange
     let mut site = site_with_recorded_ends();
     let key = site.cell.worker_keys()[0];
 
-    // Act: the entry tells of another start; the worker has not answered yet.
+    // Act: the entry has another start time; the worker has not answered yet.
     let mut entry = site.entries[0].clone();
     entry.life.born = Some(UNIX_START + site.now);
     entry.address.set_port(9_999);
     site.cell.list_worker(entry.clone(), site.now);
     let id = site.submit(300, vec![step(1, 1_000)]);
     site.decide();
-    let look = site.cell.poll_order(key, site.now).expect("a worker");
+    let order = site.cell.poll_order(key, site.now).expect("a worker");
 
     // Assert
     assert_eq!(site.count_running(id), 0);
-    assert_eq!((look.forget, look.due, look.wait), (0, None, 0));
-    assert_eq!(look.to.address, entry.address);
+    assert_eq!((order.forget, order.due, order.wait), (0, None, 0));
+    assert_eq!(order.to.address, entry.address);
 
-    // Act: the former life answers, so the entry was an old one.
-    site.answer_poll(&look);
+    // Act: the known life answers, so the entry was out of date.
+    site.answer_poll(&order);
     site.decide();
 
     // Assert
     assert_eq!(site.count_running(id), 1);
 }
 
-/// Seen in random runs: a task ran again after its end.  A life was replaced by the next one before it
-/// had answered under an epoch of its own; its one end had been taken in with the list that told of
-/// it, and its number went over to the next life, whose first end so passed for taken in.
+/// Guards against a task that runs again after its end: a life was replaced by the next one before
+/// it had answered under an epoch of its own.  Its only end had been accepted with its first list,
+/// and the number of that end was carried over to the next life, whose first end therefore passed
+/// for accepted.
 #[test]
 fn ends_of_a_life_count_although_the_one_before_was_heard_only_once() {
-    // Arrange: a start for the first life is carried out late by the second one, which lists its end.
-    let mut site = worked_site(1);
+    // Arrange: a start for the first life arrives late and is executed by the second one, which
+    // lists its end.
+    let mut site = site_with_history(1);
     let _ = site.submit(50, vec![step(1, 1_000)]);
     site.cell.schedule(site.now);
     let late = site.cell.take_orders();
@@ -320,10 +329,10 @@
         }
     }
     site.now += 100;
-    let look = site.cell.poll_order(key, site.now).expect("a worker");
-    site.answer_poll(&look);
+    let order = site.cell.poll_order(key, site.now).expect("a worker");
+    site.answer_poll(&order);
 
-    // Act: the third life is there before anything else was heard of the second one.
+    // Act: the third life begins before the second one is heard again.
     site.end_life(0);
     site.begin_life(0);
     site.pass(10);
@@ -337,14 +346,15 @@
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
 
-/// Seen in random runs: a task ran again after its end.  A start for a former life had given the next one
-/// a lease of 10 s by another clock, and was refused, so that life held nothing when it was first
-/// heard and its lease was not told of.  What it was given later ran under that lease all the same: a
-/// successor that could not reach it took its task for over too early.
+/// Guards against a task that runs again after its end: a start meant for a former life gave the
+/// next one a lease of 10 s, since that life has another clock.  The start was refused, so the life
+/// ran nothing when it was first heard, and the roster did not mention its lease.  Later runs are
+/// under that lease all the same, so a successor that could not reach the worker took its task for
+/// ended too early.
 #[test]
 fn a_successor_waits_for_the_lease_that_an_empty_life_may_have_had() {
-    // Arrange: a former owner's start and its stop arrive at the next life, the stop first.
-    let mut site = worked_site(1);
+    // Arrange: a former owner's start and the stop for it arrive at the next life, the stop first.
+    let mut site = site_with_history(1);
     site.pass(20_000);
     let first = site.submit(50, vec![step(1, 1_000)]);
     site.cell.schedule(site.now);
@@ -373,25 +383,26 @@
     site.list(0);
     site.pass(1_000);
 
-    // Act: a task begins there; the worker is cut off, the owner is lost and another one follows.
+    // Act: a task begins there, the worker is cut off, and another owner follows.
     let id = site.submit(6_500, vec![step(1, 1_000)]);
     site.pass(100);
     let alive = site.cut_off(0);
     site.take_over();
-    go_on_unheard(&mut site, alive);
+    add_worker_and_reconnect(&mut site, alive);
 
     // Assert
     site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
 
-/// Seen in random runs: a task ran again after its end.  A start was answered by a life that began while
-/// it was on its way; by that clock its time lay far ahead, so it got the longest lease, while the owner
-/// went on with the lease that it had meant for the former life.
+/// Guards against a task that runs again after its end: a start was answered by a life that had
+/// begun while the start was on its way.  By the clock of that life the lease ended far ahead, so
+/// the worker granted the longest lease, while the owner assumed the lease that it had meant for
+/// the former life.
 #[test]
 fn a_start_that_another_clock_has_answered_has_the_longest_lease() {
-    // Arrange: the worker starts again unnoticed, and a start goes there before any look.
-    let mut site = worked_site(1);
+    // Arrange: the worker restarts unnoticed, and a start is sent to it before any poll.
+    let mut site = site_with_history(1);
     site.pass(20_000);
     site.end_life(0);
     site.begin_life(0);
@@ -399,23 +410,23 @@
     site.decide();
     assert_eq!(site.count_running(id), 1);
 
-    // Act: it is cut off, and another worker is there.
+    // Act: it is cut off, and another worker joins.
     let alive = site.cut_off(0);
-    go_on_unheard(&mut site, alive);
+    add_worker_and_reconnect(&mut site, alive);
 
     // Assert
     site.check_runs();
     assert_eq!(site.state(id), Some(JobState::Succeeded));
 }
 
-/// Seen in random runs: a task ran twice at once.  The roster told of a next life what the former owner
-/// had left on the life before, though the present owner had used that one since: a start
-/// that the next life carried out belonged to none of the jobs that were named.
+/// Guards against a task that runs twice at the same time: for a next life, the roster named the
+/// jobs that a former owner had left on the life before, although the present owner had used that
+/// life since.  A start that the next life executed belonged to none of the named jobs.
 #[test]
-fn a_next_life_is_not_told_of_as_what_an_earlier_owner_had_left() {
-    // Arrange: one worker is silent for a while and is told of with its jobs; the other one keeps the
-    // next owner from settling.
-    let mut site = worked_site(2);
+fn work_inherited_with_a_former_life_is_not_recorded_for_the_next_one() {
+    // Arrange: one worker is silent for a while, so the roster names its jobs; the other one keeps
+    // the next owner from settling.
+    let mut site = site_with_history(2);
     let first = site.cut_off(0);
     site.pass(300);
     let second = site.cut_off(1);
@@ -423,7 +434,7 @@
     site.reconnect(0, first);
     site.pass(100);
 
-    // Act: a start is on its way to the first worker when that starts again, and is carried out.
+    // Act: the first worker restarts while a start is on its way to it, and executes that start.
     let id = site.submit(1_500, vec![step(1, 1_000)]);
     site.cell.schedule(site.now);
     let late = site.cell.take_orders();
