--- a/tests/listed_lives.rs
+++ b/tests/listed_lives.rs
@@ -1,14 +1,12 @@
-//! The entry of a life that is over took the machine's new life with all its runs for over.
+//! Entries of former lives in a list of all workers.
 //!
-//! How it comes about: a worker that crashes says nothing, so its entry stays in the store for
-//! some heartbeats, beside that of the next life at the same address.  An owner that reads
-//! all entries, when it begins or when the store has forgotten its history, met one that it
-//! did not know at the address of one that it knew, took it for a newer life, and wrote off
-//! the runs of the other.  They went on, and their tasks were started again elsewhere.
-//!
-//! Cause: the order of lives was inferred from lists, which have none.
-//!
-//! Proof: the tests, which fail without the repair.  Found by reading.
+//! Guards against runs that are written off while they go on, so that their tasks are started again
+//! elsewhere.  A worker that crashes does not remove its entry, so the entry stays in the store for
+//! some heartbeats, beside that of the next life at the same address.  An owner reads all entries
+//! when it begins and when the store has dropped its history of changes.  Where it found an unknown
+//! life at the address of a known one, it took the unknown one for newer and wrote off the runs of
+//! the other.  The cause was that the order of lives was inferred from the order of a list, which
+//! says nothing about it.
 
 mod cell_core;
 
@@ -44,17 +42,18 @@
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     assert_eq!(bench.start_all().len(), 1);
 
-    // Act: all entries are read, that of the former life among them.
+    // Act: all entries are read, among them that of the former life.
     let entries = vec![worker(0), former_life(), worker(1)];
     bench.cell.list_workers(entries, bench.now);
 
     // Assert.
-    assert!(starts(&bench.decide()).is_empty(), "it runs already");
+    assert!(starts(&bench.decide()).is_empty(), "the task runs already");
 }
 
 #[test]
 fn a_successor_that_reads_a_former_life_waits_for_the_present_one() {
-    // Arrange: a former owner has used two workers; of the first there is an old entry.
+    // Arrange: a former owner has used two workers; the list also has an outdated entry at the
+    // address of the first one.
     let q = queue("q", 0);
     let mut cell = Cell::new(2, configuration(std::slice::from_ref(&q)), 1_000);
     let roster = [0, 1].map(|number| RosterEntry {
@@ -70,12 +69,15 @@
     cell.accept(&row, None, true, 1_000);
     let mut bench = Bench::with(cell, 1_000);
 
-    // Act: the second worker answers, the first does not yet.
+    // Act: the second worker answers, the first one not yet.
     bench.pass(10);
     let second = key_of(&mut bench, "w1").expect("it is listed");
     bench.poll(second);
     bench.pass(10);
 
-    // Assert: the first may run the task.
-    assert!(starts(&bench.decide()).is_empty(), "not settled yet");
+    // Assert: the first worker may run the task.
+    assert!(
+        starts(&bench.decide()).is_empty(),
+        "the job is not settled yet"
+    );
 }
