--- a/tests/late_entries.rs
+++ b/tests/late_entries.rs
@@ -79,8 +79,8 @@
     bench.cell.poll_answered(order, &report, bench.now);
 }
 
-/// An owner that has lost the former life, and whose next life of that machine was listed, has
-/// answered and runs a task.
+/// An owner that has lost the former life; the next life of that machine is listed, has answered
+/// and runs a task.
 fn bench_after_a_crash(q: &Queue) -> Bench {
     let mut bench = bench_with("former", q);
     let former = poll_order_to(&mut bench, "former").expect("it is listed");
