--- a/tests/asked_at_the_end.rs
+++ b/tests/asked_at_the_end.rs
@@ -23,7 +23,7 @@
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use crossweir::workspace::Caller;
 use tokio::time::Instant;
-use virtual_node::{Relay, VirtualNode, claim, furnish, virtual_node_with};
+use virtual_node::{Relay, VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
 /// What a caller has left when it asks.
 const LEFT: Option<Millis> = Some(3_000);
@@ -42,8 +42,8 @@
         let ids = ["w0", "w1"].map(str::to_owned);
         Arc::new(MemoryWorkers::new(clock, ids)) as Arc<_>
     };
-    let node = virtual_node_with(&[Relay::Works], workers, Arc::new(JsonDecoder));
-    furnish(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
+    let node = virtual_node_with_workers(&[Relay::Works], workers, Arc::new(JsonDecoder));
+    set_up_cell(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
     let version = claim(&node.store, "n0", 7, 1);
     let engine = Engine::start(&node.shared, 1, version).await;
     let engine = engine.expect("the cell loads");
@@ -137,7 +137,7 @@
 async fn an_end_is_shown_while_a_slow_store_is_still_recording_it() {
     // Arrange: a store that takes 500 ms for each answer.
     let bed = owner().await;
-    bed.node.guarded.delay.store(500, Ordering::Relaxed);
+    bed.node.faulty_store.delay.store(500, Ordering::Relaxed);
     let row = start(&bed, 1, 100).await;
 
     // Act: 120 ms after the end.
@@ -153,7 +153,7 @@
 async fn an_end_that_no_other_node_knows_of_waits_for_its_record() {
     // Arrange.
     let bed = owner().await;
-    bed.node.guarded.delay.store(500, Ordering::Relaxed);
+    bed.node.faulty_store.delay.store(500, Ordering::Relaxed);
     let row = start(&bed, 1, 100).await;
     pass(220).await;
 
--- a/tests/confirming.rs
+++ b/tests/confirming.rs
@@ -58,7 +58,10 @@
     }
 
     fn shut_out(&self) {
-        self.node.guarded.shut.store(true, Ordering::Relaxed);
+        self.node
+            .faulty_store
+            .unavailable
+            .store(true, Ordering::Relaxed);
     }
 }
 
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -11,7 +11,7 @@
 use crossweir::node::recording::OwnerRow;
 use crossweir::rpc::node::Heartbeat;
 use crossweir::store::{Store, StoreCall, StoreReply, Table, Transaction};
-use virtual_node::{Relay, VirtualNode, claim, virtual_node, virtual_node_of};
+use virtual_node::{Relay, VirtualNode, claim, virtual_node, virtual_node_with_millicores};
 
 /// A heartbeat of a node that has just started and knows of epoch 5.
 fn started_beat() -> Heartbeat {
@@ -100,7 +100,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_weak_node_claims_the_cell_later_but_does() {
-    let (strong, weak) = (virtual_node_of(500, &[]), virtual_node_of(100, &[]));
+    let (strong, weak) = (
+        virtual_node_with_millicores(500, &[]),
+        virtual_node_with_millicores(100, &[]),
+    );
 
     let (strong, weak) = (time_to_claim(&strong).await, time_to_claim(&weak).await);
 
@@ -110,7 +113,7 @@
 
 /// The owner hears another node of this strength for some seconds.
 async fn owner_beside(strength: u32) -> VirtualNode {
-    let node = virtual_node_of(100, &[]);
+    let node = virtual_node_with_millicores(100, &[]);
     time_to_claim(&node).await;
     for _ in 0..50 {
         node.shared.apply_heartbeat(&Heartbeat {
@@ -155,10 +158,10 @@
 #[tokio::test(start_paused = true)]
 async fn an_owner_whose_giving_up_is_in_doubt_does_not_go_on() {
     // Arrange: an owner, and a store that has gone silent without its noticing.
-    let node = virtual_node_of(100, &[]);
+    let node = virtual_node_with_millicores(100, &[]);
     time_to_claim(&node).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    node.guarded.silent.store(true, Ordering::Relaxed);
+    node.faulty_store.silent.store(true, Ordering::Relaxed);
 
     // Act: a far stronger node is heard for some seconds.
     for _ in 0..50 {
@@ -199,7 +202,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_candidate_that_waited_for_one_owner_does_not_claim_at_once_from_the_next() {
     // Arrange: a weak node that stands aside for some 260 ms has heard an owner give up.
-    let node = virtual_node_of(120, &[Relay::Gone]);
+    let node = virtual_node_with_millicores(120, &[Relay::Gone]);
     tokio::spawn(election::run(Arc::clone(&node.shared)));
     another_gives_up(&node, 5);
     tokio::time::sleep(Duration::from_millis(200)).await;
@@ -248,7 +251,7 @@
     // Arrange: a store that takes 700 ms for each answer.
     let node = virtual_node(&[Relay::Works]);
     node.shared.apply_heartbeat(&started_beat());
-    node.guarded.delay.store(700, Ordering::Relaxed);
+    node.faulty_store.delay.store(700, Ordering::Relaxed);
 
     // Act: a claim through another node would be the second one.
     let took = time_to_claim(&node).await;
@@ -267,7 +270,7 @@
     // Arrange: a node reads the row of ownership, and its claim is on its way for 500 ms.
     let node = virtual_node(&[Relay::Gone]);
     claim(&node.store, "n9", 1, 5);
-    node.guarded.delay.store(500, Ordering::Relaxed);
+    node.faulty_store.delay.store(500, Ordering::Relaxed);
     tokio::spawn(election::run(Arc::clone(&node.shared)));
     tokio::time::sleep(Duration::from_millis(800)).await;
 
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -42,7 +42,7 @@
 use crossweir::store::{RowKey, Store, StoreCall, StoreReply, Table, Transaction, encode};
 use futures::FutureExt;
 use futures::future::BoxFuture;
-use virtual_node::{VirtualNode, claim, furnish, virtual_node_with};
+use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
 /// The tasks that were ordered to start, with the epochs of the orders.
 type Starts = Arc<Mutex<Vec<(String, u64)>>>;
@@ -101,8 +101,8 @@
             cut: dark,
         })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
-    furnish(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
+    let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
+    set_up_cell(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
     Bed { node, starts, cut }
 }
 
@@ -159,7 +159,7 @@
     let (first, second) = (job_of(1, 100, 1_000), job_of(2, 200, 16_000));
     keep(&node, &first, 0);
     keep(&node, &second, 0);
-    node.guarded.delay.store(150, Ordering::Relaxed);
+    node.faulty_store.delay.store(150, Ordering::Relaxed);
     engine.accepted(&first);
     engine.accepted(&second);
     pass(220).await;
@@ -169,10 +169,10 @@
     let shared = Arc::clone(&node.shared);
     let release = tokio::spawn(async move { election::hand_over(&shared).await });
     pass(20).await;
-    node.guarded.lossy.store(true, Ordering::Relaxed);
+    node.faulty_store.lossy.store(true, Ordering::Relaxed);
     release.await.expect("the cell is given up");
-    node.guarded.lossy.store(false, Ordering::Relaxed);
-    node.guarded.delay.store(0, Ordering::Relaxed);
+    node.faulty_store.lossy.store(false, Ordering::Relaxed);
+    node.faulty_store.delay.store(0, Ordering::Relaxed);
     assert!(is_recorded(&node, &first).await);
     assert!(!is_recorded(&node, &second).await);
     owner(&node, 2).await;
--- a/tests/forgotten_nodes.rs
+++ b/tests/forgotten_nodes.rs
@@ -28,7 +28,7 @@
             ..Heartbeat::default()
         });
     }
-    node.guarded.shut.store(true, Ordering::Relaxed);
+    node.faulty_store.unavailable.store(true, Ordering::Relaxed);
     (node, engine)
 }
 
--- a/tests/former_owner.rs
+++ b/tests/former_owner.rs
@@ -21,7 +21,7 @@
 use crossweir::node::shared::job_partition;
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use futures::future::BoxFuture;
-use virtual_node::{VirtualNode, claim, furnish, virtual_node_with};
+use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
 /// Workers in memory that note the epochs under which tasks were started.
 struct Noted {
@@ -55,8 +55,8 @@
             epochs: seen,
         })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
-    furnish(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
+    let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
+    set_up_cell(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
     (node, epochs)
 }
 
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -31,7 +31,7 @@
 
 fn front_with_a_silent_store() -> Frontend {
     let node = virtual_node(&[]);
-    node.guarded.silent.store(true, Ordering::Relaxed);
+    node.faulty_store.silent.store(true, Ordering::Relaxed);
     Frontend::new(node.shared)
 }
 
@@ -61,7 +61,7 @@
 async fn a_caller_waits_longer_for_a_store_that_is_slow_and_answers() {
     // Arrange: a store that takes 1.1 s for each answer, as the node has seen.
     let node = virtual_node(&[]);
-    node.guarded.delay.store(1_100, Ordering::Relaxed);
+    node.faulty_store.delay.store(1_100, Ordering::Relaxed);
     let front = Arc::new(Frontend::new(node.shared));
     let first = Arc::clone(&front);
     let earlier = tokio::spawn(async move {
@@ -99,7 +99,7 @@
 async fn a_store_that_turns_slow_still_takes_jobs() {
     // Arrange: a node that is used to a fast store.
     let node = virtual_node(&[]);
-    let guarded = Arc::clone(&node.guarded);
+    let faulty_store = Arc::clone(&node.faulty_store);
     let front = Frontend::new(node.shared);
     let q = queue("q", 0);
     for id in 1..20 {
@@ -110,7 +110,7 @@
     }
 
     // Act: every answer takes 500 ms from now on, and the caller has 2 s left.
-    guarded.delay.store(500, Ordering::Relaxed);
+    faulty_store.delay.store(500, Ordering::Relaxed);
     let outcome = front
         .submit(&Caller::Anonymous, &q, JobId(20), spec(), Some(2_000))
         .await;
@@ -130,7 +130,7 @@
             ..Heartbeat::default()
         });
     }
-    node.guarded.delay.store(600, Ordering::Relaxed);
+    node.faulty_store.delay.store(600, Ordering::Relaxed);
     let front = Arc::new(Frontend::new(Arc::clone(&node.shared)));
     let first = Arc::clone(&front);
     tokio::spawn(async move {
@@ -186,7 +186,7 @@
             ..Heartbeat::default()
         });
     }
-    node.guarded.delay.store(600, Ordering::Relaxed);
+    node.faulty_store.delay.store(600, Ordering::Relaxed);
     let front = Arc::new(Frontend::new(Arc::clone(&node.shared)));
 
     // Act: jobs come every 50 ms; those of the first 100 ms cannot know how slow it is.
@@ -212,8 +212,8 @@
 async fn a_job_goes_by_another_node_when_the_store_is_silent_to_this_one() {
     // Arrange.
     let node = virtual_node(&[Relay::Works]);
-    node.hear_other();
-    node.guarded.silent.store(true, Ordering::Relaxed);
+    node.hear_peer();
+    node.faulty_store.silent.store(true, Ordering::Relaxed);
     let front = Frontend::new(node.shared);
 
     // Act.
@@ -236,7 +236,7 @@
     // Arrange: writes hang in a store that has gone silent, and the node has noticed.
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
-    node.guarded.silent.store(true, Ordering::Relaxed);
+    node.faulty_store.silent.store(true, Ordering::Relaxed);
     let front = Arc::new(Frontend::new(Arc::clone(&node.shared)));
     for id in 1..=3 {
         let front = Arc::clone(&front);
@@ -268,7 +268,7 @@
     // Arrange.
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
-    node.guarded.lossy.store(true, Ordering::Relaxed);
+    node.faulty_store.lossy.store(true, Ordering::Relaxed);
     let front = Frontend::new(Arc::clone(&node.shared));
 
     // Act.
--- a/tests/hall_rows.rs
+++ b/tests/hall_rows.rs
@@ -12,13 +12,13 @@
 use crossweir::node::engine::Engine;
 use crossweir::node::{configuration, halls};
 use crossweir::store::{RowKey, Table, Transaction};
-use virtual_node::{Relay, VirtualNode, claim, virtual_node_with};
+use virtual_node::{Relay, VirtualNode, claim, virtual_node_with_workers};
 
 /// What the operator writes to have a hall evacuated.
 const ORDER: &str = "{}";
 
 fn node(relays: &[Relay]) -> VirtualNode {
-    virtual_node_with(
+    virtual_node_with_workers(
         relays,
         |clock| Arc::new(MemoryWorkers::new(clock, std::iter::empty())),
         Arc::new(JsonDecoder),
@@ -80,11 +80,13 @@
     tokio::spawn(configuration::follow(Arc::clone(&node.shared)));
     pass(100).await;
 
-    node.guarded.shut.store(true, Ordering::Relaxed);
+    node.faulty_store.unavailable.store(true, Ordering::Relaxed);
     pass(3_000).await;
     take_back(&node, "north");
     let away = halls_known(&node);
-    node.guarded.shut.store(false, Ordering::Relaxed);
+    node.faulty_store
+        .unavailable
+        .store(false, Ordering::Relaxed);
     pass(1_000).await;
 
     assert_eq!(away.expect("it is known"), ["north"]);
@@ -95,7 +97,7 @@
 async fn an_owner_that_the_store_turns_away_reads_the_halls_through_another_node() {
     // Arrange
     let node = node(&[Relay::Works]);
-    node.hear_other();
+    node.hear_peer();
     tokio::spawn(configuration::follow(Arc::clone(&node.shared)));
     let version = claim(&node.store, "n0", 7, 16);
     let engine = Engine::start(&node.shared, 16, version).await;
@@ -104,10 +106,10 @@
     pass(100).await;
 
     // Act
-    node.guarded.shut.store(true, Ordering::Relaxed);
+    node.faulty_store.unavailable.store(true, Ordering::Relaxed);
     evacuate(&node, "north", ORDER);
     for _ in 0..10 {
-        node.hear_other();
+        node.hear_peer();
         pass(300).await;
     }
 
@@ -144,7 +146,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_that_has_read_nothing_knows_no_halls() {
     let node = node(&[]);
-    node.guarded.shut.store(true, Ordering::Relaxed);
+    node.faulty_store.unavailable.store(true, Ordering::Relaxed);
 
     tokio::spawn(configuration::follow(Arc::clone(&node.shared)));
     pass(1_000).await;
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -47,7 +47,7 @@
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use futures::FutureExt;
 use futures::future::BoxFuture;
-use virtual_node::{VirtualNode, claim, furnish, virtual_node_with};
+use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
 /// How long each owner lasts.
 const TERM: Duration = Duration::from_millis(1_500);
@@ -163,8 +163,8 @@
             made = Some(Arc::clone(&partly));
             partly
         };
-        let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
-        furnish(&node, std::slice::from_ref(q), &[worker(0), worker(1)]);
+        let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
+        set_up_cell(&node, std::slice::from_ref(q), &[worker(0), worker(1)]);
         let engine = own(&node, 1).await;
         Self {
             node,
--- a/tests/many_heartbeats.rs
+++ b/tests/many_heartbeats.rs
@@ -23,7 +23,7 @@
 use crossweir::node::links::Workers;
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use futures::future::BoxFuture;
-use virtual_node::{VirtualNode, claim, furnish, virtual_node_with};
+use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
 /// Workers that write heartbeats; the one with the label comes behind them.
 const OTHERS: u16 = 1_000;
@@ -71,10 +71,10 @@
         let starts = counted;
         Arc::new(Counted { inner, starts })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
+    let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
     let others = (0..OTHERS).map(worker);
     let entries: Vec<_> = others.chain([labelled(None)]).collect();
-    furnish(&node, &[queue("q", 0)], &entries);
+    set_up_cell(&node, &[queue("q", 0)], &entries);
     let version = claim(&node.store, "n0", 7, 16);
     let engine = Engine::start(&node.shared, 16, version).await;
     node.shared
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -20,7 +20,7 @@
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use futures::FutureExt;
 use futures::future::BoxFuture;
-use virtual_node::{claim, virtual_node_with};
+use virtual_node::{claim, virtual_node_with_workers};
 
 /// How long the adapter waits for the answer to a start.
 const START_LIMIT: Duration = Duration::from_millis(250);
@@ -71,7 +71,7 @@
             starts: seen,
         })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
+    let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
     let q = queue("q", 0);
     node.shared.adopt_config(
         Configuration::from(Draft {
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -13,7 +13,7 @@
 async fn lost() -> VirtualNode {
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
-    node.guarded.silent.store(true, Ordering::Relaxed);
+    node.faulty_store.silent.store(true, Ordering::Relaxed);
     let call = StoreCall::Commit(Transaction::default());
     let reply = node.shared.store(call).await;
     assert_eq!(reply, Err(StoreError::Unanswered));
@@ -25,7 +25,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_store_that_was_silent_is_noticed_soon_after_its_return() {
     let node = lost().await;
-    node.guarded.silent.store(false, Ordering::Relaxed);
+    node.faulty_store.silent.store(false, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_millis(260)).await;
     assert!(node.shared.reaches_store());
 }
@@ -34,7 +34,9 @@
 async fn calls_that_hang_are_given_up_when_the_store_is_back() {
     // Arrange: a write hangs that may wait as long as the store may take.
     let node = lost().await;
-    node.guarded.shut.store(false, Ordering::Relaxed);
+    node.faulty_store
+        .unavailable
+        .store(false, Ordering::Relaxed);
     let shared = Arc::clone(&node.shared);
     let write = tokio::spawn(async move {
         let call = StoreCall::Commit(Transaction::default());
@@ -43,7 +45,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
 
     // Act.
-    node.guarded.silent.store(false, Ordering::Relaxed);
+    node.faulty_store.silent.store(false, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     // Assert.
--- a/tests/suspended.rs
+++ b/tests/suspended.rs
@@ -40,7 +40,7 @@
     let before = engine.is_active();
 
     // Act.
-    node.guarded.shut.store(true, Ordering::Relaxed);
+    node.faulty_store.unavailable.store(true, Ordering::Relaxed);
     clock.asleep.store(2_500, Ordering::Relaxed);
 
     // Assert.
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -23,7 +23,7 @@
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use futures::future::BoxFuture;
 use tokio::time::Instant;
-use virtual_node::{VirtualNode, claim, furnish, virtual_node_with};
+use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
 /// How long a slow store takes for each answer, in milliseconds.
 const ANSWER: u64 = 400;
@@ -87,7 +87,7 @@
     }
 
     fn set_delay(&self, delay: u64) {
-        self.node.guarded.delay.store(delay, Ordering::Relaxed);
+        self.node.faulty_store.delay.store(delay, Ordering::Relaxed);
     }
 }
 
@@ -105,9 +105,9 @@
         let orders = counted;
         Arc::new(Counted { inner, orders })
     };
-    let node = virtual_node_with(&[], workers, Arc::new(JsonDecoder));
+    let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
     let entries: Vec<_> = (0..WORKERS).map(worker).collect();
-    furnish(&node, &[queue("q", 0)], &entries);
+    set_up_cell(&node, &[queue("q", 0)], &entries);
     keep_ends(&node);
     let bed = Bed { node, orders };
     let (engine, _) = bed.take_over(1).await;
--- a/tests/told_configuration.rs
+++ b/tests/told_configuration.rs
@@ -17,7 +17,7 @@
 use crossweir::queue::{Configuration, Draft};
 use crossweir::rpc::node::Heartbeat;
 use crossweir::store::{RowKey, Table, Transaction, encode};
-use virtual_node::{Relay, VirtualNode, virtual_node_with};
+use virtual_node::{Relay, VirtualNode, virtual_node_with_workers};
 
 /// Nodes beside the one under test, the last of which owns the cell.
 const OTHERS: u16 = 40;
@@ -33,7 +33,7 @@
 
 /// A node of which all others are far stronger.
 async fn node() -> VirtualNode {
-    let node = virtual_node_with(
+    let node = virtual_node_with_workers(
         &vec![Relay::Works; usize::from(OTHERS)],
         |clock| Arc::new(MemoryWorkers::new(clock, std::iter::empty())),
         Arc::new(JsonDecoder),
@@ -47,7 +47,9 @@
     let key = RowKey::new(Table::Operator, "", "configuration");
     tx.puts.push((key, encode(&configured(version))));
     node.store.commit(&tx);
-    node.guarded.configuration.store(version, Ordering::Relaxed);
+    node.faulty_store
+        .configuration
+        .store(version, Ordering::Relaxed);
 }
 
 /// All others tell of themselves, the owner of the version that it has.
@@ -79,7 +81,7 @@
 }
 
 fn reads(node: &VirtualNode) -> usize {
-    node.guarded.operator_calls.load(Ordering::Relaxed)
+    node.faulty_store.operator_calls.load(Ordering::Relaxed)
 }
 
 /// Starts a node that has read the configuration, and hears the owner.
@@ -132,7 +134,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_that_no_watcher_gives_the_newer_version_reads_the_store() {
     let node = told_node().await;
-    node.guarded.configuration.store(0, Ordering::Relaxed);
+    node.faulty_store.configuration.store(0, Ordering::Relaxed);
 
     let mut tx = Transaction::default();
     let key = RowKey::new(Table::Operator, "", "configuration");
--- a/tests/virtual_node/mod.rs
+++ b/tests/virtual_node/mod.rs
@@ -38,10 +38,10 @@
 }
 
 /// A store that can turn the node under test away.
-pub struct Guarded {
+pub struct FaultyStore {
     store: Arc<MemoryStore>,
     /// The node under test is turned away.
-    pub shut: AtomicBool,
+    pub unavailable: AtomicBool,
     /// The node under test gets no answers.
     pub silent: AtomicBool,
     /// The node under test is cut off in the middle of every call.
@@ -54,12 +54,12 @@
     pub configuration: Arc<AtomicU64>,
 }
 
-impl Store for Guarded {
+impl Store for FaultyStore {
     fn call(&self, call: StoreCall) -> BoxFuture<'_, Result<StoreReply, StoreError>> {
-        if is_for_operator(&call) {
+        if reads_operator_rows(&call) {
             self.operator_calls.fetch_add(1, Ordering::Relaxed);
         }
-        if self.shut.load(Ordering::Relaxed) {
+        if self.unavailable.load(Ordering::Relaxed) {
             return async { Err(StoreError::Unavailable) }.boxed();
         }
         if self.lossy.load(Ordering::Relaxed) {
@@ -77,7 +77,7 @@
     }
 }
 
-fn is_for_operator(call: &StoreCall) -> bool {
+fn reads_operator_rows(call: &StoreCall) -> bool {
     let (StoreCall::List { table, .. } | StoreCall::Changes { table, .. }) = call else {
         return false;
     };
@@ -97,7 +97,7 @@
     Gone,
 }
 
-pub struct Others {
+pub struct Peers {
     store: Arc<MemoryStore>,
     relays: Vec<Relay>,
     /// Rows of jobs that they were handed to write.
@@ -106,7 +106,7 @@
     configuration: Arc<AtomicU64>,
 }
 
-impl NodeLink for Others {
+impl NodeLink for Peers {
     fn call(
         &self,
         address: SocketAddr,
@@ -122,7 +122,7 @@
             }
             let body = match call {
                 NodeCall::Relay(body) => body,
-                NodeCall::Configuration(above) => return Ok(self.give_configuration(above)),
+                NodeCall::Configuration(above) => return Ok(self.configuration_reply(above)),
                 NodeCall::Write(rows) if relay == Relay::Works => {
                     self.written.fetch_add(rows.len(), Ordering::Relaxed);
                     return Ok(NodeReply::Written(vec![
@@ -147,8 +147,8 @@
     }
 }
 
-impl Others {
-    fn give_configuration(&self, above: u64) -> NodeReply {
+impl Peers {
+    fn configuration_reply(&self, above: u64) -> NodeReply {
         let version = self.configuration.load(Ordering::Relaxed);
         if version <= above {
             return NodeReply::Unavailable;
@@ -211,7 +211,7 @@
     /// The store, whatever the node is told.
     pub store: Arc<MemoryStore>,
     /// The way that the node has to it.
-    pub guarded: Arc<Guarded>,
+    pub faulty_store: Arc<FaultyStore>,
     /// What all parts of the node share.
     pub shared: Arc<Shared>,
     /// Rows of jobs that other nodes were handed to write.
@@ -220,7 +220,7 @@
 
 impl VirtualNode {
     /// Another node tells that it reaches the store.
-    pub fn hear_other(&self) {
+    pub fn hear_peer(&self) {
         self.shared.apply_heartbeat(&Heartbeat {
             name: String::from("n1"),
             boot: 1,
@@ -233,21 +233,21 @@
 
 /// Makes the node `n0`, whose boot is 7; other nodes answer at ports from 1.
 pub fn virtual_node(relays: &[Relay]) -> VirtualNode {
-    virtual_node_of(1_000, relays)
+    virtual_node_with_millicores(1_000, relays)
 }
 
 /// Makes such a node on a VM that gives it `millicores`.
-pub fn virtual_node_of(millicores: u32, relays: &[Relay]) -> VirtualNode {
+pub fn virtual_node_with_millicores(millicores: u32, relays: &[Relay]) -> VirtualNode {
     let clock = Arc::new(RuntimeClock(Instant::now()));
-    without_workers(millicores, relays, clock)
+    build_without_workers(millicores, relays, clock)
 }
 
 /// Makes such a node that reads `clock`.
 pub fn virtual_node_with_clock(relays: &[Relay], clock: Arc<dyn Clock>) -> VirtualNode {
-    without_workers(1_000, relays, clock)
+    build_without_workers(1_000, relays, clock)
 }
 
-fn without_workers(millicores: u32, relays: &[Relay], clock: Arc<dyn Clock>) -> VirtualNode {
+fn build_without_workers(millicores: u32, relays: &[Relay], clock: Arc<dyn Clock>) -> VirtualNode {
     build(
         Load::new(millicores),
         relays,
@@ -258,7 +258,7 @@
 }
 
 /// Makes such a node with workers, which are told its clock.
-pub fn virtual_node_with(
+pub fn virtual_node_with_workers(
     relays: &[Relay],
     workers: impl FnOnce(Arc<dyn Clock>) -> Arc<dyn Workers>,
     decoder: Arc<dyn Decoder>,
@@ -275,9 +275,9 @@
     decoder: Arc<dyn Decoder>,
 ) -> VirtualNode {
     let store = Arc::new(MemoryStore::default());
-    let guarded = Arc::new(Guarded {
+    let faulty_store = Arc::new(FaultyStore {
         store: Arc::clone(&store),
-        shut: AtomicBool::new(false),
+        unavailable: AtomicBool::new(false),
         silent: AtomicBool::new(false),
         lossy: AtomicBool::new(false),
         delay: AtomicU64::new(0),
@@ -286,15 +286,15 @@
     });
     let written = Arc::<AtomicUsize>::default();
     let links = Links {
-        store: guarded.clone(),
+        store: faulty_store.clone(),
         workers: workers(Arc::clone(&clock)),
         advisor: None,
         decoder,
-        peers: Arc::new(Others {
+        peers: Arc::new(Peers {
             store: Arc::clone(&store),
             relays: relays.to_vec(),
             written: Arc::clone(&written),
-            configuration: Arc::clone(&guarded.configuration),
+            configuration: Arc::clone(&faulty_store.configuration),
         }),
     };
     let shared = Shared::new(
@@ -311,7 +311,7 @@
     );
     VirtualNode {
         store,
-        guarded,
+        faulty_store,
         shared,
         written,
     }
@@ -336,7 +336,7 @@
 }
 
 /// Puts a configuration with these queues in force, and lists these workers.
-pub fn furnish(node: &VirtualNode, queues: &[Queue], workers: &[WorkerEntry]) {
+pub fn set_up_cell(node: &VirtualNode, queues: &[Queue], workers: &[WorkerEntry]) {
     let config = Configuration::from(Draft {
         version: 1,
         queues: queues.to_vec(),
