--- a/tests/virtual_node/mod.rs
+++ b/tests/virtual_node/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures for one node in virtual time: its store is in memory, the others are played.
+//! Fixture: one node in virtual time, with a store in memory that can be made to fail and simulated
+//! peers.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -28,7 +29,7 @@
 use futures::future::BoxFuture;
 use tokio::time::Instant;
 
-/// The time of the paused runtime.
+/// A clock that follows the paused time of the Tokio runtime and starts at 1.
 pub struct RuntimeClock(pub Instant);
 
 impl Clock for RuntimeClock {
@@ -37,20 +38,20 @@
     }
 }
 
-/// A store that can turn the node under test away.
+/// The store as the node under test sees it, with switchable faults.
 pub struct FaultyStore {
     store: Arc<MemoryStore>,
-    /// The node under test is turned away.
+    /// Each call of the node under test fails with `Unavailable`.
     pub unavailable: AtomicBool,
-    /// The node under test gets no answers.
+    /// Calls of the node under test are never answered.
     pub silent: AtomicBool,
-    /// The node under test is cut off in the middle of every call.
+    /// The connection breaks during each call of the node under test: it fails with `Unanswered`.
     pub lossy: AtomicBool,
     /// How long the store takes for each answer, in milliseconds.
     pub delay: AtomicU64,
-    /// How often the node under test has asked for the operator's rows.
+    /// How often the node under test has read the operator's rows.
     pub operator_calls: AtomicUsize,
-    /// The version of the configuration that the other nodes have.
+    /// The version of the configuration that the peers have.
     pub configuration: Arc<AtomicU64>,
 }
 
@@ -84,25 +85,26 @@
     *table == Table::Operator
 }
 
-/// What another node does with a call that it is asked to make.
+/// How a peer handles a store call that it is asked to relay.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Relay {
-    /// It reaches the store.
+    /// It makes the call and returns the store's reply.
     Works,
-    /// It says that the store is away.
+    /// It replies that the store is unavailable.
     Away,
     /// It does not answer.
     Silent,
-    /// No process listens there.
+    /// No process listens at its address.
     Gone,
 }
 
+/// The simulated peers; the peer at port 1 behaves as the first of `relays`, and so on.
 pub struct Peers {
     store: Arc<MemoryStore>,
     relays: Vec<Relay>,
-    /// Rows of jobs that they were handed to write.
+    /// How many job rows the peers were asked to write.
     written: Arc<AtomicUsize>,
-    /// The version of the configuration that they have.
+    /// The version of the configuration that the peers have.
     configuration: Arc<AtomicU64>,
 }
 
@@ -163,6 +165,7 @@
     }
 }
 
+/// Workers that answer no call.
 pub struct NoWorkers;
 
 impl Workers for NoWorkers {
@@ -182,6 +185,7 @@
     }
 }
 
+/// A decoder that accepts evacuation rows and nothing else.
 pub struct NoDecoder;
 
 impl Decoder for NoDecoder {
@@ -206,20 +210,20 @@
     }
 }
 
-/// A node with its store, which both may be looked at.
+/// A node with its store and counters, for tests to inspect.
 pub struct VirtualNode {
-    /// The store, whatever the node is told.
+    /// The store itself, without the faults that the node sees.
     pub store: Arc<MemoryStore>,
-    /// The way that the node has to it.
+    /// The same store as the node sees it.
     pub faulty_store: Arc<FaultyStore>,
-    /// What all parts of the node share.
+    /// The node's shared state.
     pub shared: Arc<Shared>,
-    /// Rows of jobs that other nodes were handed to write.
+    /// How many job rows the peers were asked to write.
     pub written: Arc<AtomicUsize>,
 }
 
 impl VirtualNode {
-    /// Another node tells that it reaches the store.
+    /// The node receives a heartbeat of the peer `n1`, which reaches the store.
     pub fn hear_peer(&self) {
         self.shared.apply_heartbeat(&Heartbeat {
             name: String::from("n1"),
@@ -231,18 +235,19 @@
     }
 }
 
-/// Makes the node `n0`, whose boot is 7; other nodes answer at ports from 1.
+/// Makes the node `n0` with boot number 7 and 1,000 millicores.  The peers listen at the ports from 1
+/// on, one for each of `relays`.
 pub fn virtual_node(relays: &[Relay]) -> VirtualNode {
     virtual_node_with_millicores(1_000, relays)
 }
 
-/// Makes such a node on a VM that gives it `millicores`.
+/// Makes the same node on a VM that gives it `millicores`.
 pub fn virtual_node_with_millicores(millicores: u32, relays: &[Relay]) -> VirtualNode {
     let clock = Arc::new(RuntimeClock(Instant::now()));
     build_without_workers(millicores, relays, clock)
 }
 
-/// Makes such a node that reads `clock`.
+/// Makes the same node with `clock` as its clock.
 pub fn virtual_node_with_clock(relays: &[Relay], clock: Arc<dyn Clock>) -> VirtualNode {
     build_without_workers(1_000, relays, clock)
 }
@@ -257,7 +262,7 @@
     )
 }
 
-/// Makes such a node with workers, which are told its clock.
+/// Makes the same node with the workers that `workers` builds from the node's clock.
 pub fn virtual_node_with_workers(
     relays: &[Relay],
     workers: impl FnOnce(Arc<dyn Clock>) -> Arc<dyn Workers>,
@@ -317,7 +322,7 @@
     }
 }
 
-/// The row of ownership names `name` from now on.
+/// Writes an ownership row that names `name`; returns the version of the row.
 pub fn claim(store: &MemoryStore, name: &str, boot: u64, epoch: u64) -> u64 {
     let row = OwnerRow {
         name: name.to_owned(),
@@ -335,7 +340,8 @@
     }
 }
 
-/// Puts a configuration with these queues in force, and lists these workers.
+/// Puts a configuration with these queues in force on the node, and writes the workers' entries to the
+/// store.
 pub fn set_up_cell(node: &VirtualNode, queues: &[Queue], workers: &[WorkerEntry]) {
     let config = Configuration::from(Draft {
         version: 1,
