--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -1,7 +1,8 @@
-//! What a workspace has running stays within its cap, whatever becomes of starts, workers and owners.
+//! The runs of a workspace stay within its cap, also when starts stay unanswered, workers fall
+//! silent or the owner changes.
 //!
-//! The pattern: 60 workers of which several workspaces want more than there is, so that what runs
-//! already is near the caps of most and each further start counts.
+//! The largest test has 60 workers and workspaces that together want more than these have, so most
+//! workspaces are near their caps and every further start could exceed one.
 
 mod cell_core;
 
@@ -20,9 +21,10 @@
 use crossweir::cell::{Cell, tuning};
 use crossweir::workspace::{Caller, Workspace};
 
-/// Longer than any lease.
+/// Longer than any lease, in milliseconds.
 const AFTER_LEASES: u64 = 6_000;
 
+/// Returns a job of the workspace `owner`.
 fn owned(id: u64, owner: &Workspace, steps: Vec<Step>) -> JobRow {
     JobRow {
         workspace: Some(owner.clone()),
@@ -30,7 +32,7 @@
     }
 }
 
-/// A cell of 16-core workers whose configuration names these workspaces.
+/// Returns a cell of 16-core workers whose configuration lists these workspaces.
 fn bench(workers: u16, list: &[Workspace]) -> Bench {
     let queues = [queue("q", 0)];
     let mut bench = Bench::new(workers, &queues);
@@ -38,6 +40,7 @@
     bench
 }
 
+/// Returns why the only step of a job waits.
 fn waits_for(bench: &Bench, id: u64) -> Option<WaitReason> {
     let view = bench.cell.view(JobId(id), bench.now).expect("it is known");
     view.steps[0].waits_for
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn memory_counts_as_well() {
+fn memory_is_capped_as_well() {
     let mut team = workspace("team", 0);
     team.cap.memory = 350;
     let mut bench = bench(4, std::slice::from_ref(&team));
@@ -69,8 +72,8 @@
 }
 
 #[test]
-fn a_workspace_at_its_cap_holds_nobody_up() {
-    // Arrange: two workspaces in one queue, the first has come first with far more than its cap.
+fn a_workspace_at_its_cap_does_not_delay_other_workspaces() {
+    // Arrange: two workspaces share a queue; the first to submit wants far more than its cap.
     let (hot, calm) = (workspace("hot", 16), workspace("calm", 16));
     let mut bench = bench(8, &[hot.clone(), calm.clone()]);
     for id in 1..50 {
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn a_gang_fits_whole_or_waits() {
+fn a_gang_waits_until_all_of_it_fits_under_the_cap() {
     // Arrange
     let team = workspace("team", 15);
     let mut bench = bench(4, std::slice::from_ref(&team));
@@ -106,7 +109,7 @@
     bench.accept(&owned(2, &team, vec![gang]));
 
     // Act
-    let beside = bench.start_all();
+    let with_other_run = bench.start_all();
     let task = bench
         .running
         .values()
@@ -119,7 +122,7 @@
     let alone = bench.start_all();
 
     // Assert
-    assert!(beside.is_empty());
+    assert!(with_other_run.is_empty());
     assert_eq!(alone.len(), 3);
 }
 
@@ -144,7 +147,7 @@
     bench.accept(&owned(1, &team, vec![step(2, 4_000)]));
     let start = starts(&bench.decide()).remove(0);
 
-    // Act: nobody knows whether it runs.
+    // Act: whether it runs is unknown until the start is too late to take effect.
     bench
         .cell
         .start_answered(start.run, StartOutcome::Unanswered, None, bench.now);
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn runs_on_a_silent_worker_count_until_its_lease_is_over() {
+fn runs_on_a_silent_worker_count_until_its_lease_has_ended() {
     // Arrange
     let team = workspace("team", 4);
     let mut bench = bench(4, std::slice::from_ref(&team));
@@ -214,8 +217,9 @@
     assert_eq!(after.len(), 1);
 }
 
-/// A successor that has read the rows of a job that is new to all; of the former owner's four
-/// workers, on which anything may run, the first `heard` have answered, one with a run of 8 cores.
+/// Returns a successor of an owner with four workers on which any job may run.  The first `heard`
+/// workers have answered, worker 0 with a run of 8 cores.  Job 2, which nobody has started yet, has
+/// been accepted since.
 fn successor(team: &Workspace, heard: usize) -> Bench {
     let queues = [queue("q", 0)];
     let config = shared_configuration(2, &queues, std::slice::from_ref(team));
@@ -234,13 +238,13 @@
             0 => vec![listed_run("0000000000000001.0.0.0", 1_000_001)],
             _ => Vec::new(),
         };
-        let look = PollReport {
+        let report = PollReport {
             clock: bench.now,
             running,
             ..PollReport::default()
         };
         let key = bench.worker(number);
-        bench.poll_with_report(key, &look);
+        bench.poll_with_report(key, &report);
     }
     bench.pass(10);
     bench.accept(&owned(2, team, vec![step(4, 8_000)]));
@@ -248,19 +252,19 @@
 }
 
 #[yare::parameterized(
-    three_of_four_have_told = { 3, 32, 1 },
-    all_have_told = { 4, 32, 3 },
-    three_have_told_and_the_cap_is_wide = { 3, 64, 4 },
+    three_of_four_have_answered = { 3, 32, 1 },
+    all_have_answered = { 4, 32, 3 },
+    three_have_answered_and_the_cap_is_wide = { 3, 64, 4 },
 )]
-fn a_successor_leaves_room_for_what_it_cannot_know(heard: usize, cap: u64, wanted: usize) {
-    // A worker that has not told may hold 16 cores of any workspace; 8 are known to be held.
+fn a_successor_counts_possible_unknown_runs_against_the_cap(heard: usize, cap: u64, wanted: usize) {
+    // A worker that has not answered may hold 16 cores for any workspace; 8 are known to be held.
     let team = workspace("team", cap);
     let mut bench = successor(&team, heard);
     assert_eq!(starts(&bench.decide()).len(), wanted);
 }
 
 #[test]
-fn a_lower_cap_stops_nothing_and_lets_nothing_start() {
+fn a_lowered_cap_stops_no_run_and_allows_no_start() {
     // Arrange
     let queues = [queue("q", 0)];
     let team = workspace("team", 16);
@@ -282,7 +286,7 @@
 }
 
 #[test]
-fn jobs_of_a_workspace_that_vanished_go_on_under_its_last_cap() {
+fn jobs_of_a_workspace_removed_from_the_configuration_keep_its_last_cap() {
     let queues = [queue("q", 0)];
     let team = workspace("team", 8);
     let mut bench = bench(4, std::slice::from_ref(&team));
@@ -294,7 +298,7 @@
 }
 
 #[test]
-fn nobody_else_sees_or_cancels_a_job() {
+fn a_job_is_visible_only_to_its_workspace_and_the_operator() {
     // Arrange
     let team = workspace("team", 8);
     let mut bench = bench(1, std::slice::from_ref(&team));
@@ -327,7 +331,7 @@
 }
 
 #[test]
-fn a_row_of_a_version_without_workspaces_is_read() {
+fn a_job_row_written_before_workspaces_existed_is_read() {
     let row = job(1, &queue("q", 0), vec![step(1, 1_000)]);
     let mut value = serde_json::to_value(&row).expect("it is encoded");
     let fields = value.as_object_mut().expect("an object");
@@ -352,13 +356,13 @@
         bench.accept(&owned(id + 1, owner, vec![step(6, 4_000 + id % 5 * 1_000)]));
     }
 
-    // Act: some runs end each round, others take their place.
+    // Act: a quarter of the runs end in each round, and others start in their room.
     for round in 0..60 {
         bench.start_all();
         check_caps(&bench, &list);
         let running: Vec<_> = bench.running.values().flatten().copied().collect();
-        for (place, (task, number)) in running.into_iter().enumerate() {
-            if (place + round) % 4 == 0 {
+        for (index, (task, number)) in running.into_iter().enumerate() {
+            if (index + round) % 4 == 0 {
                 bench.end(task, number, EndKind::Done);
             }
         }
@@ -374,6 +378,7 @@
     assert_eq!(done.count(), 200);
 }
 
+/// Checks that the runs of each workspace are within its cap.
 fn check_caps(bench: &Bench, list: &[Workspace]) {
     let mut held: BTreeMap<usize, Demand> = BTreeMap::new();
     for (task, _) in bench.running.values().flatten() {
@@ -383,7 +388,7 @@
             .or_default()
             .add(&demand);
     }
-    for (place, held) in held {
-        assert!(list[place].admits(&held), "{held:?}");
+    for (index, held) in held {
+        assert!(list[index].admits(&held), "{held:?}");
     }
 }
