--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -1,21 +1,20 @@
-//! Tasks were started again beside their runs, or after these had ended.
+//! Tasks are not started again while their runs go on, or after these have ended.
 //!
-//! Seen: with over a thousand workers and no fault, while the owner was behind, tasks whose runs had
-//! ended well were started again three seconds later, all at once, by the same node.  It was not
-//! brought about again; reading the code for ways to it found those that the tests below show.
+//! Guards against double starts as seen without any fault, with over a thousand workers and an
+//! owner that lagged behind: three seconds after runs had ended well, the same node started all of
+//! their tasks again at once.  The cause was not reproduced; these tests cover the ways to such
+//! double starts that the code allowed:
 //!
-//! How they come about, and the cause:
-//! - The batch of a release was taken while another transaction was on its way.  The loop of records
-//!   then found ends without rows, and let the workers forget them before the release was
-//!   durable.  What is recorded was taken outside of the lock that keeps transactions in order.
-//! - A job that is handed in again has a row younger than the claim, and a job that is accepted
-//!   after the claim may be told to a former owner that has not heard of it.  Both were taken for
-//!   jobs that nobody had started.
-//! - A new owner counted no lease on a worker before it had given one itself, and gave one by a
-//!   reading of the worker's clock of any age.
-//! - A worker lists a bounded number of ends at once, and a run in neither list was over.
-//!
-//! Proof: the tests, each of which fails without its repair.
+//! - The batch that goes with the release of the cell was taken outside of the lock that keeps
+//!   transactions in order, while another transaction was in flight.  The recording loop then found
+//!   ends without rows to write, and let the workers forget them before the release was durable.
+//! - A job that is submitted again has a row younger than the claim, and a job that is accepted
+//!   after the claim may be sent to a former owner that does not know of the claim yet.  Both were
+//!   taken for jobs that nobody had started.
+//! - A new owner assumed no lease on a worker until it had granted one itself, and granted leases
+//!   by a reading of the worker's clock of any age.
+//! - A worker lists a bounded number of ends at once, and a run in neither of its lists was taken
+//!   to have ended.
 
 mod cell_core;
 mod virtual_node;
@@ -47,17 +46,17 @@
 /// The tasks that were ordered to start, with the epochs of the orders.
 type Starts = Arc<Mutex<Vec<(String, u64)>>>;
 
-/// How long the adapter waits for the answer to a look.
-const LOOK_LIMIT: Duration = Duration::from_millis(250);
+/// How long the client of the workers waits for the answer to a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Workers that keep what was ordered, and of which one can be cut off from looks.
-struct Watched {
+/// Workers that record the starts ordered, and of which the first can be cut off from polls.
+struct ObservedWorkers {
     inner: MemoryWorkers,
     starts: Starts,
     cut: Arc<AtomicBool>,
 }
 
-impl Workers for Watched {
+impl Workers for ObservedWorkers {
     fn start<'a>(&'a self, order: &'a StartOrder) -> BoxFuture<'a, (StartOutcome, Option<Millis>)> {
         let start = (order.task.to_string(), order.to.epoch);
         self.starts.lock().expect("starts").push(start);
@@ -71,7 +70,7 @@
     fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         if order.to.life.id == "w0" && self.cut.load(Ordering::Relaxed) {
             return async {
-                tokio::time::sleep(LOOK_LIMIT).await;
+                tokio::time::sleep(POLL_TIMEOUT).await;
                 Err(PollFailure::Unanswered)
             }
             .boxed();
@@ -81,32 +80,32 @@
 }
 
 /// A node with its workers.
-struct Bed {
+struct Fixture {
     node: VirtualNode,
     starts: Starts,
-    /// The first worker answers no looks.
+    /// Whether polls of the first worker stay unanswered.
     cut: Arc<AtomicBool>,
 }
 
-/// A node with two workers in its store.
-fn node_with_workers() -> Bed {
+/// Returns a node with two workers in its store.
+fn node_with_workers() -> Fixture {
     let (starts, cut) = (Starts::default(), Arc::<AtomicBool>::default());
-    let (seen, dark) = (Arc::clone(&starts), Arc::clone(&cut));
+    let (starts_copy, cut_copy) = (Arc::clone(&starts), Arc::clone(&cut));
     let workers = move |clock: Arc<dyn Clock>| -> Arc<dyn Workers> {
         let ids = ["w0", "w1"].map(str::to_owned);
         let inner = MemoryWorkers::new(clock, ids);
-        Arc::new(Watched {
+        Arc::new(ObservedWorkers {
             inner,
-            starts: seen,
-            cut: dark,
+            starts: starts_copy,
+            cut: cut_copy,
         })
     };
     let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
     set_up_cell(&node, &[queue("q", 0)], &[worker(0), worker(1)]);
-    Bed { node, starts, cut }
+    Fixture { node, starts, cut }
 }
 
-/// The node owns the cell under `epoch` and has heard its workers.
+/// Makes the node own the cell under `epoch`, and waits until it has heard from its workers.
 async fn owner(node: &VirtualNode, epoch: u64) -> Arc<Engine> {
     let version = claim(&node.store, "n0", 7, epoch);
     let engine = Engine::start(&node.shared, epoch, version).await;
@@ -116,7 +115,7 @@
     engine
 }
 
-/// A job of one task that takes `length`.
+/// Returns a job of one task that runs for `length`.
 fn job_of(id: u64, length: Millis, millicores: u64) -> JobRow {
     let mut row = job(id, &queue("q", 0), vec![step(1, millicores)]);
     row.spec.text = length.to_string();
@@ -124,7 +123,7 @@
 }
 
 /// Writes the row of a job into the partition with this number.
-fn keep(node: &VirtualNode, row: &JobRow, partition: usize) {
+fn write_row(node: &VirtualNode, row: &JobRow, partition: usize) {
     let key = RowKey::new(Table::Jobs, &job_partition(partition), &row.id.to_string());
     let mut tx = Transaction::default();
     tx.puts.push((key, encode(row)));
@@ -135,7 +134,7 @@
     tokio::time::sleep(Duration::from_millis(time)).await;
 }
 
-/// The epochs under which a job's tasks were started.
+/// Returns the epochs under which a job's tasks were started.
 fn epochs_of(starts: &Starts, row: &JobRow) -> Vec<u64> {
     let job = row.id.to_string();
     let starts = starts.lock().expect("starts");
@@ -143,6 +142,7 @@
     of_job.map(|(_, epoch)| *epoch).collect()
 }
 
+/// Returns whether the progress of a job has been recorded.
 async fn is_recorded(node: &VirtualNode, row: &JobRow) -> bool {
     let call = StoreCall::row(Table::Progress, CELL_PARTITION, &row.id.to_string());
     match node.store.call(call).await {
@@ -152,20 +152,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_end_that_goes_with_the_release_of_the_cell_is_not_forgotten_before() {
+async fn an_end_recorded_with_the_release_is_kept_by_its_worker_until_then() {
     // Arrange: two jobs on two workers, and a store that takes 150 ms for each answer.
-    let Bed { node, starts, .. } = node_with_workers();
+    let Fixture { node, starts, .. } = node_with_workers();
     let engine = owner(&node, 1).await;
     let (first, second) = (job_of(1, 100, 1_000), job_of(2, 200, 16_000));
-    keep(&node, &first, 0);
-    keep(&node, &second, 0);
+    write_row(&node, &first, 0);
+    write_row(&node, &second, 0);
     node.faulty_store.delay.store(150, Ordering::Relaxed);
     engine.accepted(&first);
     engine.accepted(&second);
     pass(220).await;
 
-    // Act: the end of the first is being recorded, that of the second waits.  The cell is given
-    // up, and no answer of the store comes any more.
+    // Act: the end of the first job is being recorded, that of the second waits.  The cell is
+    // released, and from then on all answers of the store are lost.
     let shared = Arc::clone(&node.shared);
     let release = tokio::spawn(async move { election::hand_over(&shared).await });
     pass(20).await;
@@ -182,21 +182,21 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_was_written_twice_predates_the_claim_if_one_of_its_rows_does() {
+async fn a_job_with_two_rows_predates_the_claim_if_one_of_them_does() {
     // Arrange: an owner runs a task.
-    let Bed { node, starts, cut } = node_with_workers();
+    let Fixture { node, starts, cut } = node_with_workers();
     let engine = owner(&node, 1).await;
     let row = job_of(1, 10_000, 1_000);
-    keep(&node, &row, 5);
+    write_row(&node, &row, 5);
     engine.accepted(&row);
     pass(200).await;
     engine.retire("test");
     let version = claim(&node.store, "n0", 7, 2);
     cut.store(true, Ordering::Relaxed);
 
-    // Act: its caller hands it in again, which writes it into another partition, before the
-    // next owner has read the cell.
-    keep(&node, &row, 0);
+    // Act: its caller submits it again, which writes it into another partition, before the next
+    // owner has read the cell.
+    write_row(&node, &row, 0);
     let next = Engine::start(&node.shared, 2, version).await;
     let next = next.expect("the cell loads");
     pass(1_000).await;
@@ -208,15 +208,15 @@
     drop(next);
 }
 
-/// The most ends that the platform lists at once (its protocol, "Running tasks").
-const ENDS_AT_ONCE: u64 = 500;
+/// The most ends that a worker lists at once (the platform's protocol, "Running tasks").
+const MAX_ENDS_LISTED: u64 = 500;
 
-/// Ends of runs that are nobody's, at the places from 1 on.
-fn strange_ends(count: u64) -> Vec<EndEntry> {
-    let end = |place| EndEntry {
-        end_number: place,
+/// Returns ends of runs of an unknown job, numbered from 1 on.
+fn unknown_ends(count: u64) -> Vec<EndEntry> {
+    let end = |number| EndEntry {
+        end_number: number,
         task: "00000000000000ff.0.0.0".parse().expect("a task"),
-        number: place,
+        number,
         how: EndKind::Stopped,
         checkpoint: String::new(),
     };
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_run_in_neither_list_is_not_over_while_the_list_of_ends_is_full() {
+fn a_run_in_neither_list_may_go_on_while_the_list_of_ends_is_full() {
     // Arrange: a task runs on one of two workers.
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
@@ -232,24 +232,24 @@
     let started = bench.start_all();
     let worker = started[0].to.worker;
 
-    // Act: it has ended, behind as many ends as are listed at once.
+    // Act: it has ended, behind as many ends as one list holds.
     bench.now += 100;
-    let look = PollReport {
+    let report = PollReport {
         born: None,
         clock: bench.now,
         running: Vec::new(),
-        ended: strange_ends(ENDS_AT_ONCE),
+        ended: unknown_ends(MAX_ENDS_LISTED),
     };
-    bench.poll_with_report(worker, &look);
+    bench.poll_with_report(worker, &report);
 
-    // Assert: its end may be the next one.
+    // Assert: its end may be the next one after those listed.
     assert!(starts(&bench.decide()).is_empty(), "it may be done");
 }
 
 #[test]
-fn a_lease_is_not_renewed_by_a_reading_of_the_clock_that_is_older_than_a_lease() {
-    // Arrange: a worker whose clock is 2% slow, the platform's bound, and an owner that has
-    // not looked at it for 20 s.
+fn a_lease_is_not_renewed_by_a_clock_reading_older_than_a_lease() {
+    // Arrange: a worker whose clock is 2% slow, the platform's bound, and an owner that has not
+    // polled it for 20 s.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     let (worker, read) = (bench.worker(0), bench.now);
@@ -259,7 +259,7 @@
     let order = bench.cell.poll_order(worker, bench.now);
     let due = order.and_then(|order| order.due);
 
-    // Assert: by the worker's clock it would end later than we count.
+    // Assert: otherwise the lease would end later by the worker's clock than the owner assumes.
     let clock = read + (bench.now - read) * 98 / 100;
     let counted = tuning::LEASE + tuning::LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000;
     let counted = counted + tuning::LEASE_MARGIN;
@@ -268,10 +268,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_a_former_owner_was_told_of_after_the_claim_is_not_started_beside_its_runs() {
-    // Arrange: the cell is claimed, and the next owner has not heard the first worker yet.  The
-    // former one does not know of the claim.
-    let Bed { node, starts, cut } = node_with_workers();
+async fn a_job_that_a_former_owner_started_after_the_claim_is_not_started_again() {
+    // Arrange: the cell is claimed, and the next owner has not heard from the first worker yet.
+    // The former owner does not know of the claim.
+    let Fixture { node, starts, cut } = node_with_workers();
     let former = owner(&node, 1).await;
     cut.store(true, Ordering::Relaxed);
     let version = claim(&node.store, "n0", 7, 2);
@@ -279,9 +279,9 @@
     let next = next.expect("the cell loads");
     pass(50).await;
 
-    // Act: a job is accepted after the next owner has read the cell.  The former owner is told.
+    // Act: a job is accepted after the next owner has read the cell, and sent to the former owner.
     let row = job_of(1, 10_000, 1_000);
-    keep(&node, &row, 0);
+    write_row(&node, &row, 0);
     former.accepted(&row);
     pass(50).await;
     former.retire("test");
@@ -295,25 +295,25 @@
 }
 
 #[test]
-fn a_new_owner_waits_out_the_lease_that_a_former_one_has_given() {
-    // Arrange: a worker runs a task that a former owner has started, another one nothing.
+fn a_new_owner_waits_for_the_end_of_a_former_owners_lease() {
+    // Arrange: a worker runs a task that a former owner has started; another one is idle.
     let q = queue("q", 0);
     let mut cell = Cell::new(2, configuration(std::slice::from_ref(&q)), 1_000);
     cell.list_workers(vec![worker(0), worker(1)], 1_000);
     let row = job(1, &q, vec![step(1, 1_000)]);
     cell.accept(&row, None, true, 1_000);
     let mut bench = Bench::with(cell, 1_000);
-    let (runs, other) = (bench.worker(0), bench.worker(1));
+    let (busy, other) = (bench.worker(0), bench.worker(1));
     let task = "0000000000000001.0.0.0".parse().expect("a task");
-    bench.running.insert(runs, vec![(task, 1)]);
-    bench.poll(runs);
+    bench.running.insert(busy, vec![(task, 1)]);
+    bench.poll(busy);
     bench.poll(other);
     assert_eq!(bench.cell.counts().adopted, 1);
 
-    // Act: the next call to it brings no answer.
+    // Act: the next poll of it stays unanswered.
     bench
         .cell
-        .poll_failed(runs, PollFailure::Unanswered, bench.now);
+        .poll_failed(busy, PollFailure::Unanswered, bench.now);
     bench.pass(100);
     bench.poll(other);
     let early = starts(&bench.decide());
@@ -321,7 +321,7 @@
     bench.poll(other);
     let late = starts(&bench.decide());
 
-    // Assert: its run goes on for as long as the former owner's lease.
-    assert!(early.is_empty(), "it runs yet");
+    // Assert: its run may go on until the former owner's lease has ended.
+    assert!(early.is_empty(), "it may still run");
     assert_eq!(late.len(), 1);
 }
