--- a/tests/full_lists.rs
+++ b/tests/full_lists.rs
@@ -1,17 +1,18 @@
-//! A worker that lists as many ends as a list holds, long after its first whole list.
+//! A worker whose list of ends becomes full, long after its first complete list.
 //!
-//! What a former owner left on a worker is known from the first list under our epoch that is
-//! whole.  A list that is full later, since the store takes no record for a while, hides ends of
-//! our own runs only, and need not keep jobs of the whole cell from starting elsewhere.
+//! The first complete list under the present epoch shows all that a former owner left on a worker.
+//! If a later list is full, because the store accepts no records for a while, it can hide only ends
+//! of the present owner's runs.  It must not keep the jobs of the whole cell from starting on other
+//! workers.
 
 mod cell_core;
 
 use cell_core::{Bench, job, listed_end, queue, starts, step};
 use crossweir::cell::order::{EndEntry, EndKind};
 
-/// How many starts are ordered on an empty worker while another one lists so many ends.
+/// Returns how many starts are ordered on an empty worker while another one lists `listed` ends.
 fn starts_elsewhere(listed: u64) -> usize {
-    // Arrange: both workers have answered with whole lists, and the cell is settled.
+    // Arrange: both workers have answered with complete lists, so ownership is settled.
     let q = queue("q", 0);
     let mut bench = Bench::under(2, 2, std::slice::from_ref(&q));
     let many = job(1, &q, vec![step(600, 16_000)]);
@@ -20,21 +21,21 @@
     assert_eq!(
         started.len(),
         2,
-        "one on each worker, so nothing is unsettled"
+        "one on each worker, so ownership is settled"
     );
     let key = bench.worker(0);
     let other = bench.worker(1);
 
-    // Act: while the store is away, the first worker comes to list as many ends.
+    // Act: while the store is unavailable, the first worker comes to list that many ends.
     let ends: Vec<EndEntry> = (0..listed)
-        .map(|place| {
-            let task = format!("0000000000000001.0.0.{}", 50 + place);
-            listed_end(place + 1, &task, 2_000_500 + place, EndKind::Done)
+        .map(|index| {
+            let task = format!("0000000000000001.0.0.{}", 50 + index);
+            listed_end(index + 1, &task, 2_000_500 + index, EndKind::Done)
         })
         .collect();
     bench.poll_with_lists(key, Vec::new(), ends);
     let on_other = started.iter().find(|start| start.to.worker == other);
-    let on_other = on_other.expect("a start there");
+    let on_other = on_other.expect("a start on the other worker");
     let end = listed_end(
         1,
         &on_other.task.to_string(),
@@ -45,17 +46,17 @@
     bench.pass(20);
 
     let again = starts(&bench.decide());
-    let there = again.iter().filter(|start| start.to.worker == other);
-    there.count()
+    let on_other = again.iter().filter(|start| start.to.worker == other);
+    on_other.count()
 }
 
 #[test]
-fn a_list_that_is_not_full_holds_no_job_of_a_former_owner_back() {
+fn a_list_that_is_not_full_delays_no_job_of_a_former_owner() {
     assert_eq!(starts_elsewhere(499), 1);
 }
 
 #[test]
-fn a_full_list_after_a_whole_one_holds_no_job_of_a_former_owner_back() {
+fn a_full_list_after_a_complete_one_delays_no_job_of_a_former_owner() {
     assert_eq!(
         starts_elsewhere(500),
         1,
