--- a/tests/late_lists.rs
+++ b/tests/late_lists.rs
@@ -1,18 +1,17 @@
-//! Lists of a worker that were written before others and arrive after them.
+//! Answers to polls that a worker wrote earlier than others and that arrive after them.
 //!
-//! Seen: a run that had begun three milliseconds before was taken for over, its task was
-//! started a second time on the same worker, and its room was given out again.
+//! Guards against taking a run that began three milliseconds before for ended, so that its task is
+//! started a second time on the same worker and its room is given out again.  That happens if two
+//! polls of the worker and a start are in flight at the same time.  One answer, written after the
+//! start, lists the run.  The other, whose poll was sent later but answered before the start,
+//! arrives next and does not list it.
 //!
-//! How it came about: two looks at the worker were on their way while a start was.  One list,
-//! written after the start, showed the run.  The other, sent later but written before the start,
-//! arrived next and did not show it.
+//! So an answer proves an end only if its poll was sent after the answer to the start was heard.  A
+//! start that is not answered yet must not count as answered at time zero, milliseconds are too
+//! coarse to order polls, and polls may be answered in another order than they were sent.
 //!
-//! Cause: a list was taken for proof of an end if its look had been sent after the start's
-//! answer, and for a start whose answer had not come, that time was zero.  Looks were told apart by
-//! milliseconds, and the order in which they were sent was taken for that of the lists.
-//!
-//! Proof: the tests below, the random runs of `tests/chaos.rs` with calls that take their time,
-//! and the days that docs/FINDINGS.md names.
+//! `tests/chaos.rs` covers the same with random delays of calls; docs/FINDINGS.md names further
+//! runs.
 
 mod cell_core;
 
@@ -21,26 +20,26 @@
     EndEntry, EndKind, PollOrder, PollReport, RunningEntry, StartOrder, StartOutcome,
 };
 
-/// Sends a look to the one worker.
-fn send_look(bench: &mut Bench) -> PollOrder {
+/// Sends a poll to the only worker.
+fn send_poll(bench: &mut Bench) -> PollOrder {
     let worker = bench.worker(0);
     let order = bench.cell.poll_order(worker, bench.now);
     order.expect("a known worker")
 }
 
-/// A list arrives.
-fn arrives(bench: &mut Bench, sent: PollOrder, list: &PollReport) {
-    bench.cell.poll_answered(&sent, list, bench.now);
+/// Delivers the answer to a poll.
+fn deliver(bench: &mut Bench, sent: PollOrder, report: &PollReport) {
+    bench.cell.poll_answered(&sent, report, bench.now);
 }
 
-/// The answer to a start arrives.
-fn start_answered(bench: &mut Bench, start: &StartOrder, outcome: StartOutcome) {
+/// Delivers the answer to a start.
+fn deliver_start_answer(bench: &mut Bench, start: &StartOrder, outcome: StartOutcome) {
     bench
         .cell
         .start_answered(start.run, outcome, None, bench.now);
 }
 
-/// Says that the run goes on.
+/// Returns a list entry that shows the run as running.
 fn running(start: &StartOrder) -> RunningEntry {
     RunningEntry {
         task: start.task,
@@ -51,7 +50,7 @@
     }
 }
 
-/// Says that the run was stopped.
+/// Returns a list entry that shows the run as stopped.
 fn stopped(start: &StartOrder) -> EndEntry {
     EndEntry {
         end_number: 1,
@@ -62,19 +61,19 @@
     }
 }
 
-/// An end of a job that nobody knows.
-fn end_of_another_job(place: u64) -> EndEntry {
+/// Returns an end of a job that the owner does not know.
+fn end_of_unknown_job(number: u64) -> EndEntry {
     EndEntry {
-        end_number: place,
+        end_number: number,
         task: "0000000000000009.0.0.0".parse().expect("a task"),
-        number: place,
+        number,
         how: EndKind::Done,
         checkpoint: String::new(),
     }
 }
 
-/// A list that a worker writes now.
-fn list(bench: &Bench, running: &[RunningEntry], ended: &[EndEntry]) -> PollReport {
+/// Returns an answer that the worker writes now.
+fn report(bench: &Bench, running: &[RunningEntry], ended: &[EndEntry]) -> PollReport {
     PollReport {
         born: None,
         clock: bench.now,
@@ -83,7 +82,7 @@
     }
 }
 
-/// One worker, and a job whose task takes all of it.
+/// Returns an owner of one worker, with a job whose task takes all of the worker.
 fn one_task_that_fills_a_worker() -> Bench {
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
@@ -97,197 +96,197 @@
     starts(&bench.decide()).remove(0)
 }
 
-/// How many starts are ordered now.
-fn started_again(bench: &mut Bench) -> usize {
+/// Returns how many starts are ordered now.
+fn count_starts(bench: &mut Bench) -> usize {
     starts(&bench.decide()).len()
 }
 
 #[test]
-fn a_list_from_before_a_start_does_not_end_a_run_that_another_list_has_shown() {
-    // Arrange: the look that is sent first is held at the worker, and answered last there.
+fn an_answer_from_before_a_start_does_not_end_a_run_that_another_answer_listed() {
+    // Arrange: the poll that is sent first is held by the worker and answered last.
     let mut bench = one_task_that_fills_a_worker();
-    let held = send_look(&mut bench);
+    let held = send_poll(&mut bench);
     let start = order_start(&mut bench);
     bench.now += 1;
-    let quick = send_look(&mut bench);
-    let before = list(&bench, &[], &[]);
+    let quick = send_poll(&mut bench);
+    let before = report(&bench, &[], &[]);
     bench.now += 1;
-    let after = list(&bench, &[running(&start)], &[]);
+    let after = report(&bench, &[running(&start)], &[]);
 
-    // Act: the start's answer is still on its way.
-    arrives(&mut bench, held, &after);
-    arrives(&mut bench, quick, &before);
+    // Act: the answer to the start is still in flight.
+    deliver(&mut bench, held, &after);
+    deliver(&mut bench, quick, &before);
 
     // Assert.
-    assert_eq!(started_again(&mut bench), 0, "it runs");
+    assert_eq!(count_starts(&mut bench), 0, "it runs");
 }
 
 #[test]
-fn of_two_looks_of_one_millisecond_the_older_list_does_not_end_a_run() {
+fn of_two_polls_in_one_millisecond_the_older_answer_does_not_end_a_run() {
     // Arrange.
     let mut bench = one_task_that_fills_a_worker();
     let start = order_start(&mut bench);
-    let first = send_look(&mut bench);
-    let second = send_look(&mut bench);
-    let before = list(&bench, &[], &[]);
-    let after = list(&bench, &[running(&start)], &[]);
+    let first = send_poll(&mut bench);
+    let second = send_poll(&mut bench);
+    let before = report(&bench, &[], &[]);
+    let after = report(&bench, &[running(&start)], &[]);
 
     // Act.
-    arrives(&mut bench, second, &after);
-    arrives(&mut bench, first, &before);
+    deliver(&mut bench, second, &after);
+    deliver(&mut bench, first, &before);
 
     // Assert.
-    assert_eq!(started_again(&mut bench), 0, "it runs");
+    assert_eq!(count_starts(&mut bench), 0, "it runs");
 }
 
 #[test]
-fn of_two_looks_of_one_millisecond_the_older_list_brings_no_run_back() {
-    // Arrange: a run is shown, and its end by the other list.
+fn of_two_polls_in_one_millisecond_the_older_answer_does_not_bring_a_run_back() {
+    // Arrange: one answer lists the run as running, the later one its end.
     let mut bench = one_task_that_fills_a_worker();
     let start = order_start(&mut bench);
-    start_answered(&mut bench, &start, StartOutcome::Started);
+    deliver_start_answer(&mut bench, &start, StartOutcome::Started);
     bench.now += 10;
-    let first = send_look(&mut bench);
-    let second = send_look(&mut bench);
-    let before = list(&bench, &[running(&start)], &[]);
-    let after = list(&bench, &[], &[stopped(&start)]);
+    let first = send_poll(&mut bench);
+    let second = send_poll(&mut bench);
+    let before = report(&bench, &[running(&start)], &[]);
+    let after = report(&bench, &[], &[stopped(&start)]);
 
     // Act.
-    arrives(&mut bench, second, &after);
-    arrives(&mut bench, first, &before);
+    deliver(&mut bench, second, &after);
+    deliver(&mut bench, first, &before);
 
-    // Assert: the task starts again, since nothing of it runs.
+    // Assert: the task starts again, since its run has ended.
     assert_eq!(bench.cell.counts().adopted, 0);
-    assert_eq!(started_again(&mut bench), 1);
+    assert_eq!(count_starts(&mut bench), 1);
 }
 
 #[test]
-fn of_several_looks_at_once_a_list_from_before_an_end_brings_no_run_back() {
-    // Arrange: the look that is sent first is answered last by the worker, and arrives first.
+fn of_several_concurrent_polls_an_answer_from_before_an_end_does_not_bring_a_run_back() {
+    // Arrange: the poll that is sent first is answered last, and its answer arrives first.
     let mut bench = one_task_that_fills_a_worker();
     let start = order_start(&mut bench);
-    start_answered(&mut bench, &start, StartOutcome::Started);
+    deliver_start_answer(&mut bench, &start, StartOutcome::Started);
     bench.now += 10;
-    let held = send_look(&mut bench);
+    let held = send_poll(&mut bench);
     bench.now += 1;
-    let second = send_look(&mut bench);
+    let second = send_poll(&mut bench);
     bench.now += 1;
-    let third = send_look(&mut bench);
-    let before = list(&bench, &[running(&start)], &[]);
+    let third = send_poll(&mut bench);
+    let before = report(&bench, &[running(&start)], &[]);
     bench.now += 1;
-    let after = list(&bench, &[], &[stopped(&start)]);
+    let after = report(&bench, &[], &[stopped(&start)]);
 
     // Act.
-    arrives(&mut bench, held, &after);
-    arrives(&mut bench, third, &before);
-    arrives(&mut bench, second, &before);
+    deliver(&mut bench, held, &after);
+    deliver(&mut bench, third, &before);
+    deliver(&mut bench, second, &before);
 
     // Assert.
     assert_eq!(bench.cell.counts().adopted, 0);
-    assert_eq!(started_again(&mut bench), 1);
+    assert_eq!(count_starts(&mut bench), 1);
 }
 
 #[test]
-fn a_list_that_is_no_proof_of_an_end_stops_no_run_either() {
-    // Arrange: as above, and the task has begun anew when the old list arrives.
+fn an_old_answer_that_lists_an_ended_run_does_not_stop_the_next_run() {
+    // Arrange: as above, and the task has been started again when the old answer arrives.
     let mut bench = one_task_that_fills_a_worker();
     let first = order_start(&mut bench);
-    start_answered(&mut bench, &first, StartOutcome::Started);
+    deliver_start_answer(&mut bench, &first, StartOutcome::Started);
     bench.now += 10;
-    let held = send_look(&mut bench);
-    let quick = send_look(&mut bench);
-    let before = list(&bench, &[running(&first)], &[]);
-    let after = list(&bench, &[], &[stopped(&first)]);
-    arrives(&mut bench, held, &after);
+    let held = send_poll(&mut bench);
+    let quick = send_poll(&mut bench);
+    let before = report(&bench, &[running(&first)], &[]);
+    let after = report(&bench, &[], &[stopped(&first)]);
+    deliver(&mut bench, held, &after);
     let second = order_start(&mut bench);
-    start_answered(&mut bench, &second, StartOutcome::Started);
+    deliver_start_answer(&mut bench, &second, StartOutcome::Started);
 
     // Act.
-    arrives(&mut bench, quick, &before);
+    deliver(&mut bench, quick, &before);
 
-    // Assert: nothing is stopped, and nothing is started.
+    // Assert: nothing is stopped or started.
     let orders = bench.decide();
     assert_eq!((stops(&orders).len(), starts(&orders).len()), (0, 0));
 }
 
 #[test]
-fn a_start_that_is_answered_after_lists_is_over_only_by_a_look_that_was_sent_later() {
-    // Arrange: one list shows the run, then its start is answered.
+fn a_run_is_ended_only_by_a_poll_sent_after_the_answer_to_its_start() {
+    // Arrange: one answer lists the run, then its start is answered.
     let mut bench = one_task_that_fills_a_worker();
-    let shows = send_look(&mut bench);
+    let shows = send_poll(&mut bench);
     let start = order_start(&mut bench);
-    let old = send_look(&mut bench);
-    let before = list(&bench, &[], &[]);
+    let old = send_poll(&mut bench);
+    let before = report(&bench, &[], &[]);
     bench.now += 2;
-    let after = list(&bench, &[running(&start)], &[]);
-    arrives(&mut bench, shows, &after);
-    let older = send_look(&mut bench);
+    let after = report(&bench, &[running(&start)], &[]);
+    deliver(&mut bench, shows, &after);
+    let older = send_poll(&mut bench);
     bench.now += 2;
-    start_answered(&mut bench, &start, StartOutcome::Started);
-
-    // Act: two lists that were on their way, and one whose look is sent after all that.
-    arrives(&mut bench, old, &before);
-    let by_old = started_again(&mut bench);
-    arrives(&mut bench, older, &after);
-    let by_older = started_again(&mut bench);
-    let new = send_look(&mut bench);
-    let gone = list(&bench, &[], &[]);
-    arrives(&mut bench, new, &gone);
-    let by_new = started_again(&mut bench);
-
-    // Assert: the last one is proof, though it was sent in the millisecond of the answer.
+    deliver_start_answer(&mut bench, &start, StartOutcome::Started);
+
+    // Act: two answers whose polls were in flight, and one whose poll is sent after all that.
+    deliver(&mut bench, old, &before);
+    let by_old = count_starts(&mut bench);
+    deliver(&mut bench, older, &after);
+    let by_older = count_starts(&mut bench);
+    let new = send_poll(&mut bench);
+    let gone = report(&bench, &[], &[]);
+    deliver(&mut bench, new, &gone);
+    let by_new = count_starts(&mut bench);
+
+    // Assert: only the last proves the end, though sent in the same millisecond as the answer.
     assert_eq!((by_old, by_older, by_new), (0, 0, 1));
 }
 
 #[test]
-fn a_stop_is_settled_only_by_a_look_that_was_sent_after_its_confirmation() {
-    // Arrange: a start is not answered, and its stop is confirmed while a look is on its way.
+fn a_stop_is_settled_only_by_a_poll_sent_after_its_confirmation() {
+    // Arrange: a start stays unanswered, and its stop is confirmed while a poll is in flight.
     let mut bench = one_task_that_fills_a_worker();
     let start = order_start(&mut bench);
-    start_answered(&mut bench, &start, StartOutcome::Unanswered);
+    deliver_start_answer(&mut bench, &start, StartOutcome::Unanswered);
     let stop = stops(&bench.decide()).remove(0);
-    let before = send_look(&mut bench);
-    let written = list(&bench, &[], &[]);
+    let before = send_poll(&mut bench);
+    let written = report(&bench, &[], &[]);
     bench.cell.stop_confirmed(stop.run.expect("a run of ours"));
-    let after = send_look(&mut bench);
+    let after = send_poll(&mut bench);
 
     // Act.
-    arrives(&mut bench, before, &written);
-    let by_before = started_again(&mut bench);
-    arrives(&mut bench, after, &written);
-    let by_after = started_again(&mut bench);
+    deliver(&mut bench, before, &written);
+    let by_before = count_starts(&mut bench);
+    deliver(&mut bench, after, &written);
+    let by_after = count_starts(&mut bench);
 
-    // Assert: the second one is proof, though all of it is one millisecond.
+    // Assert: only the second proves the end, though all this happens in one millisecond.
     assert_eq!((by_before, by_after), (0, 1));
 }
 
 #[test]
-fn a_list_that_was_on_its_way_keeps_the_room_of_a_run() {
-    // Arrange: another job waits for the room.
+fn an_answer_from_before_a_start_does_not_release_the_room_of_its_run() {
+    // Arrange: another job waits for room.
     let mut bench = one_task_that_fills_a_worker();
-    let held = send_look(&mut bench);
+    let held = send_poll(&mut bench);
     let start = order_start(&mut bench);
-    let quick = send_look(&mut bench);
-    let before = list(&bench, &[], &[]);
-    let after = list(&bench, &[running(&start)], &[]);
+    let quick = send_poll(&mut bench);
+    let before = report(&bench, &[], &[]);
+    let after = report(&bench, &[running(&start)], &[]);
     bench.accept(&job(2, &queue("q", 0), vec![step(16, 1_000)]));
 
     // Act.
-    arrives(&mut bench, held, &after);
-    arrives(&mut bench, quick, &before);
+    deliver(&mut bench, held, &after);
+    deliver(&mut bench, quick, &before);
 
     // Assert.
-    assert_eq!(started_again(&mut bench), 0, "the worker is full");
+    assert_eq!(count_starts(&mut bench), 0, "the worker is full");
 }
 
 #[test]
-fn a_list_that_cannot_hold_all_ends_does_not_end_a_run() {
-    // Arrange: a run has ended well, behind as many ends as a list holds.
+fn a_full_list_of_ends_does_not_end_a_run() {
+    // Arrange: a run has ended well, behind as many ends as one list holds.
     let mut bench = one_task_that_fills_a_worker();
     let start = order_start(&mut bench);
-    start_answered(&mut bench, &start, StartOutcome::Started);
+    deliver_start_answer(&mut bench, &start, StartOutcome::Started);
     bench.now += 10;
-    let others: Vec<EndEntry> = (1..=500).map(end_of_another_job).collect();
+    let others: Vec<EndEntry> = (1..=500).map(end_of_unknown_job).collect();
     let done = EndEntry {
         end_number: 501,
         how: EndKind::Done,
@@ -295,14 +294,14 @@
     };
 
     // Act.
-    let first = send_look(&mut bench);
-    let full = list(&bench, &[], &others);
-    arrives(&mut bench, first, &full);
-    let by_full = started_again(&mut bench);
-    let second = send_look(&mut bench);
-    let rest = list(&bench, &[], &[done]);
-    arrives(&mut bench, second, &rest);
-    let by_rest = started_again(&mut bench);
+    let first = send_poll(&mut bench);
+    let full = report(&bench, &[], &others);
+    deliver(&mut bench, first, &full);
+    let by_full = count_starts(&mut bench);
+    let second = send_poll(&mut bench);
+    let rest = report(&bench, &[], &[done]);
+    deliver(&mut bench, second, &rest);
+    let by_rest = count_starts(&mut bench);
 
     // Assert: it is never started again.
     assert_eq!((by_full, by_rest), (0, 0));
