--- a/tests/leaving_ends.rs
+++ b/tests/leaving_ends.rs
@@ -1,9 +1,9 @@
-//! An end is not shown while only a worker that is about to go knows of it.
+//! A job's end is not shown while only a worker that is about to leave keeps it.
 //!
-//! Seen: on a day without a store for some seconds a job was shown as done, all nodes were lost, and one of
-//! its tasks ran again.  How it came about: the end lay on a worker that had said 6 s before that it leaves in
-//! 10 s; it left before the next owner asked.  Cause: ends are shown before they are recorded as soon as another
-//! node knows of them, since the workers keep them; a worker that leaves does not.
+//! Ends are shown before they are recorded as soon as another node knows of them, because the
+//! workers keep them for the next owner; a worker that leaves does not.  If an end on a leaving
+//! worker is shown while the store is unavailable, and all nodes are lost, the worker may have left
+//! before the next owner polls it: a task of a job that was shown as done then runs again.
 
 mod cell_core;
 
@@ -13,8 +13,9 @@
 use crossweir::cell::spec::JobId;
 use crossweir::cell::worker::WorkerEntry;
 
-/// A job of two tasks, each on a worker of its own, of which the first has ended.
-fn half_done() -> (Bench, StartOrder) {
+/// Returns an owner of a job of two tasks, each on its own worker, and the start of the first.
+/// Both runs have ended, and the owner knows only of the first end.
+fn half_known_job() -> (Bench, StartOrder) {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(2, 10_000)]));
@@ -27,20 +28,20 @@
     (bench, first)
 }
 
-/// The worker says that it leaves in 10 s.
+/// Lists the worker of a start as leaving in 10 s.
 fn leave(bench: &mut Bench, order: &StartOrder) {
-    let place = (0..2).find(|&number| bench.worker(number) == order.to.worker);
+    let number = (0..2).find(|&number| bench.worker(number) == order.to.worker);
     let entry = WorkerEntry {
         leaving: Some(10_000),
-        ..worker(place.expect("a worker") as u16)
+        ..worker(number.expect("a worker") as u16)
     };
     bench.cell.list_worker(entry, bench.now);
 }
 
 #[test]
-fn an_end_that_a_leaving_worker_keeps_is_told_once_it_is_recorded() {
+fn an_end_on_a_leaving_worker_is_shown_only_once_it_is_recorded() {
     // Arrange
-    let (mut bench, first) = half_done();
+    let (mut bench, first) = half_known_job();
     leave(&mut bench, &first);
 
     // Act
@@ -54,8 +55,8 @@
 }
 
 #[test]
-fn an_end_on_a_worker_that_is_silent_is_not_told_early() {
-    let (mut bench, first) = half_done();
+fn an_end_on_a_silent_worker_is_not_shown_before_it_is_recorded() {
+    let (mut bench, first) = half_known_job();
     bench.poll_all();
     bench
         .cell
@@ -63,12 +64,13 @@
     assert_eq!(bench.cell.unrecorded_job_ends(), []);
 }
 
-/// Nodes keep only the ends that the owner's newest heartbeat names: one that was shown and is named no more is
-/// forgotten by all, and its tasks run again under the next owner.
+/// Nodes keep only the ends listed in the owner's latest heartbeat.  An end that was shown and is
+/// no longer listed would be forgotten by all nodes, and its tasks would run again under the next
+/// owner.
 #[test]
-fn an_end_that_was_shown_is_told_until_it_is_recorded() {
+fn an_end_that_was_shown_is_sent_to_peers_until_it_is_recorded() {
     // Arrange
-    let (mut bench, first) = half_done();
+    let (mut bench, first) = half_known_job();
     bench.poll_all();
     let shown = bench.cell.unrecorded_job_ends();
     bench.cell.mark_ends_known_to_peer(&shown);
@@ -76,20 +78,20 @@
 
     // Act
     leave(&mut bench, &first);
-    let while_it_leaves = bench.cell.unrecorded_job_ends();
+    let while_leaving = bench.cell.unrecorded_job_ends();
     bench
         .cell
         .poll_failed(first.to.worker, PollFailure::Unanswered, bench.now);
 
     // Assert
-    assert_eq!(while_it_leaves, shown);
+    assert_eq!(while_leaving, shown);
     assert_eq!(bench.cell.unrecorded_job_ends(), shown);
 }
 
 #[test]
-fn an_end_that_is_recorded_in_part_waits_only_for_the_rest() {
-    // Arrange: what the leaving worker keeps is recorded already.
-    let (mut bench, first) = half_done();
+fn a_leaving_worker_whose_end_is_recorded_does_not_delay_the_jobs_end() {
+    // Arrange: the end that the leaving worker keeps is already recorded.
+    let (mut bench, first) = half_known_job();
     bench.record();
     leave(&mut bench, &first);
 
