--- a/src/embedded/mod.rs
+++ b/src/embedded/mod.rs
@@ -1,6 +1,7 @@
-//! A whole cell in one process: memory in place of the platform and the workers.
+//! A whole cell in one process, with an in-memory store and in-memory workers in place of the
+//! platform's.
 //!
-//! It shows the main job on one machine and keeps nothing.
+//! It demonstrates on one machine how a cell runs jobs, and persists nothing.
 
 pub mod store;
 pub mod worker;
@@ -28,7 +29,8 @@
 use crate::store::{self as rows, RowKey, Table, Transaction};
 use crate::workspace::Caller;
 
-/// The settings of the embedded node; only other nodes would call it, and there are none.
+/// The settings of the embedded node.  The interface for peers is the only one that is opened, and
+/// nothing calls it, since there are no other nodes.
 const SETTINGS: &str = "\
 [node]
 name = embedded
@@ -41,22 +43,22 @@
 [store]
 address = 127.0.0.1:0
 ";
-/// How many workers there are.
+/// The number of workers.
 const WORKERS: u16 = 16;
-/// How many workers stand in a rack.
+/// The number of workers in each rack.
 const WORKERS_PER_RACK: u16 = 8;
 /// The service of all workers.
 const SERVICE: &str = "demo";
-/// The key of the configuration.
+/// The key of the row that holds the configuration.
 const CONFIGURATION: &str = "configuration";
-/// How the keys of rows about evacuated halls begin.
+/// The prefix of the keys of rows about evacuated halls.
 const EVACUATION_PREFIX: &str = "evacuate-";
-/// How long one step of the demonstration may take.
-const STEP_LIMIT: Duration = Duration::from_secs(20);
-/// How often a step is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+/// How long one step of the demonstration may take: that the node becomes ready, or one sample.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+/// How often the state of a step is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Reads rows that hold our own types as JSON.
+/// Decodes rows that hold this crate's own types as JSON, in place of the platform's format.
 pub struct JsonDecoder;
 
 impl Decoder for JsonDecoder {
@@ -93,7 +95,7 @@
     let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
     let store = Arc::new(MemoryStore::default());
     let entries: Vec<WorkerEntry> = (0..WORKERS).map(worker).collect();
-    store.commit(&furnish(&entries));
+    store.commit(&initial_rows(&entries));
     let ids = entries.into_iter().map(|entry| entry.life.id);
     let workers = Arc::new(MemoryWorkers::new(clock, ids));
     let (listener, address) = process::bind(settings.peers).await?;
@@ -107,8 +109,9 @@
     Ok(node.start(listener))
 }
 
-/// What the platform and the operator would have written.
-fn furnish(entries: &[WorkerEntry]) -> Transaction {
+/// Builds the transaction that writes what the platform and the operator write elsewhere: the
+/// workers' entries and the configuration.
+fn initial_rows(entries: &[WorkerEntry]) -> Transaction {
     let mut tx = Transaction::default();
     for entry in entries {
         let key = RowKey::new(Table::Workers, "", &entry.life.id);
@@ -150,30 +153,31 @@
 
 /// One job of the demonstration.
 struct Sample {
-    what: &'static str,
+    title: &'static str,
     queue: &'static str,
     spec: JobSpec,
 }
 
-/// Serves one of each kind of work, and says what happened.
+/// Runs one job of each kind, and reports what happened.
 ///
-/// Each line goes to `say`.  Returns whether everything went as it should.
+/// Each line of the report is passed to `print`.  Returns whether the node became ready and all
+/// jobs succeeded.
 ///
 /// # Errors
 /// As [`start`].
-pub async fn demonstrate(mut say: impl FnMut(String)) -> Result<bool> {
+pub async fn demonstrate(mut print: impl FnMut(String)) -> Result<bool> {
     let front = start().await?;
-    say(format!(
-        "A cell in one process: {WORKERS} workers in 2 racks, memory for a store."
+    print(format!(
+        "A cell in one process: {WORKERS} workers in 2 racks, and an in-memory store."
     ));
-    let mut well = eventually(|| front.is_ready()).await;
+    let mut succeeded = wait_for(|| front.is_ready()).await;
     for (number, sample) in samples().into_iter().enumerate() {
-        well &= run_sample(&front, JobId(number as u64 + 1), sample, &mut say).await;
+        succeeded &= run_sample(&front, JobId(number as u64 + 1), sample, &mut print).await;
     }
-    say(String::from(
+    print(String::from(
         "Next: docs/OPERATIONS.md runs a cell of several nodes; `crossweir --help` lists the commands.",
     ));
-    Ok(well)
+    Ok(succeeded)
 }
 
 fn samples() -> Vec<Sample> {
@@ -187,8 +191,8 @@
         estimate: 100,
         ..Step::default()
     };
-    let job = |what, queue, text: &str, steps| Sample {
-        what,
+    let job = |title, queue, text: &str, steps| Sample {
+        title,
         queue,
         spec: JobSpec {
             text: text.to_owned(),
@@ -216,40 +220,49 @@
     ]
 }
 
-/// Hands a job in and waits until it is done, or runs whole if it lasts.
+/// Submits a job and waits until it has succeeded.  A job with a step that runs until it is stopped
+/// is awaited until all its tasks run, and then cancelled.
 async fn run_sample(
     front: &Frontend,
     id: JobId,
     sample: Sample,
-    say: &mut impl FnMut(String),
+    print: &mut impl FnMut(String),
 ) -> bool {
-    let Sample { what, queue, spec } = sample;
+    let Sample { title, queue, spec } = sample;
     let lasting = spec.steps.iter().any(|step| step.lasting);
-    let queue = queue_named(front, queue);
+    let queue = find_queue(front, queue);
     if front
         .submit(&Caller::Operator, &queue, id, spec, None)
         .await
         != SubmitOutcome::Accepted
     {
-        say(format!("{what}: not accepted."));
+        print(format!("{title}: not accepted."));
         return false;
     }
-    let looks = STEP_LIMIT.as_millis() / LOOK.as_millis();
-    for _ in 0..looks {
+    let checks = STEP_TIMEOUT.as_millis() / CHECK_INTERVAL.as_millis();
+    for _ in 0..checks {
         if let Ok(view) = front.explain(&Caller::Operator, id).await
-            && is_served(&view, lasting)
+            && has_reached_goal(&view, lasting)
         {
-            say(format!("{what}, {} tasks: {}.", tasks(&view), shown(&view)));
-            return !lasting || end_service(front, id, say).await;
+            print(format!(
+                "{title}, {} tasks: {}.",
+                task_count(&view),
+                state_text(&view)
+            ));
+            return !lasting || cancel_service(front, id, print).await;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    say(format!("{what}: not served in time."));
+    let limit = STEP_TIMEOUT.as_secs();
+    print(format!(
+        "{title}: did not finish or start fully within {limit} s."
+    ));
     false
 }
 
-/// The queue that the configuration has under a name, or what it would be.
-fn queue_named(front: &Frontend, name: &str) -> Queue {
+/// Returns the queue that the configuration has under a name, or else a queue of that name with
+/// priority 0.
+fn find_queue(front: &Frontend, name: &str) -> Queue {
     let config = front.shared.config().unwrap_or_default();
     config
         .queue(name)
@@ -257,7 +270,9 @@
         .unwrap_or_else(|| queue(name, 0))
 }
 
-fn is_served(view: &JobView, lasting: bool) -> bool {
+/// Tells whether all tasks run, for a job that lasts until it is stopped, or else whether the job
+/// has succeeded.
+fn has_reached_goal(view: &JobView, lasting: bool) -> bool {
     if lasting {
         view.steps.iter().all(|step| step.running == step.tasks)
     } else {
@@ -265,20 +280,20 @@
     }
 }
 
-fn tasks(view: &JobView) -> u32 {
+fn task_count(view: &JobView) -> u32 {
     view.steps.iter().map(|step| step.tasks).sum()
 }
 
-fn shown(view: &JobView) -> &'static str {
+fn state_text(view: &JobView) -> &'static str {
     match view.state {
         JobState::Succeeded => "succeeded",
         _ => "all running",
     }
 }
 
-async fn end_service(front: &Frontend, id: JobId, say: &mut impl FnMut(String)) -> bool {
+async fn cancel_service(front: &Frontend, id: JobId, print: &mut impl FnMut(String)) -> bool {
     let cancelled = front.cancel(&Caller::Operator, id, None).await == JobAnswer::Cancelled;
-    say(String::from(if cancelled {
+    print(String::from(if cancelled {
         "The service was cancelled."
     } else {
         "The service could not be cancelled."
@@ -286,13 +301,14 @@
     cancelled
 }
 
-async fn eventually(mut holds: impl FnMut() -> bool) -> bool {
-    let looks = STEP_LIMIT.as_millis() / LOOK.as_millis();
-    for _ in 0..looks {
-        if holds() {
+/// Waits until a condition holds; returns false if it does not within [`STEP_TIMEOUT`].
+async fn wait_for(mut condition: impl FnMut() -> bool) -> bool {
+    let checks = STEP_TIMEOUT.as_millis() / CHECK_INTERVAL.as_millis();
+    for _ in 0..checks {
+        if condition() {
             return true;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
     false
 }
--- a/src/embedded/store.rs
+++ b/src/embedded/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, for a cell that lives in one process.
+//! An in-memory store, for a cell that runs in one process.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,31 +13,36 @@
     Row, RowKey, Store, StoreCall, StoreError, StoreReply, Table, Transaction, Version,
 };
 
-/// The longest row, in bytes, as the users' platform has it.
+/// The longest value of a row, in bytes; the same as the users' platform's.
 pub const MAX_ROW_BYTES: usize = 65_536;
-/// The most rows that a transaction may name, as the users' platform has it.
-pub const MOST_ENTRIES: usize = 100;
-/// The most bytes that a transaction may have in the form in which it is sent.
-pub const MOST_BYTES: usize = 1_000_000;
-/// The most changes that one answer holds, unless one transaction made more.
-pub const MOST_CHANGES: usize = 500;
-/// What a store answers to a transaction beyond its limits.
+/// The most rows that a transaction may name in its expected versions, writes and removals; the
+/// same as the users' platform's.
+pub const MAX_TRANSACTION_ROWS: usize = 100;
+/// The most bytes that a transaction may have in the form in which it is sent; only its values are
+/// counted here.
+pub const MAX_TRANSACTION_BYTES: usize = 1_000_000;
+/// The most changes that one reply holds, except that the changes of one transaction are never
+/// split between replies.
+pub const MAX_CHANGES: usize = 500;
+/// The error for a transaction that exceeds the limits.
 const TOO_LARGE: StoreError = StoreError::Rejected(413);
 
-/// Where a row lies: table, partition, key.
-type Place = (Table, String, String);
+/// The full key of a row: table, partition, key.
+type FullKey = (Table, String, String);
 
 #[derive(Default)]
 struct Contents {
-    rows: BTreeMap<Place, Row>,
+    rows: BTreeMap<FullKey, Row>,
+    /// Every write and removal, ordered by version.
     changes: Vec<(Table, Row)>,
+    /// The version of the last transaction that was committed.
     version: Version,
 }
 
-/// A store that keeps its rows for as long as the process lives.
+/// A store that keeps its rows in memory until the process ends.
 pub struct MemoryStore {
     contents: Mutex<Contents>,
-    /// Wakes those that wait for a change.
+    /// Wakes the calls that wait for a change.
     changed: watch::Sender<Version>,
 }
 
@@ -51,14 +56,15 @@
 }
 
 impl MemoryStore {
-    /// Carries out a transaction, also into tables that nodes only read.
+    /// Executes a transaction without a check of its size.  It may also write tables that nodes only
+    /// read.
     pub fn commit(&self, tx: &Transaction) -> StoreReply {
         let mut contents = self.lock();
-        let unmet = tx
+        let has_conflict = tx
             .expected
             .iter()
             .any(|(key, version)| contents.version_of(key) != *version);
-        if unmet {
+        if has_conflict {
             let rows = tx.expected.iter().filter_map(|(key, _)| contents.find(key));
             return StoreReply::Conflict(rows.cloned().collect());
         }
@@ -75,7 +81,7 @@
         StoreReply::Committed(version)
     }
 
-    async fn answer(&self, call: StoreCall) -> Result<StoreReply, StoreError> {
+    async fn handle(&self, call: StoreCall) -> Result<StoreReply, StoreError> {
         Ok(match call {
             StoreCall::Commit(tx) if is_too_large(&tx) => return Err(TOO_LARGE),
             StoreCall::Commit(tx) => self.commit(&tx),
@@ -92,19 +98,19 @@
 
     async fn changes(&self, table: Table, after: Version, wait: Millis) -> StoreReply {
         let mut changed = self.changed.subscribe();
-        let until = tokio::time::Instant::now() + Duration::from_millis(wait);
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(wait);
         loop {
             changed.borrow_and_update();
             let (rows, version) = self.lock().changes(table, after);
-            if !rows.is_empty() || tokio::time::Instant::now() >= until {
+            if !rows.is_empty() || tokio::time::Instant::now() >= deadline {
                 return StoreReply::Rows {
                     rows,
                     more: false,
                     version,
                 };
             }
-            // Whether a change came or the time is over, the changes are read again.
-            let _ = tokio::time::timeout_at(until, changed.changed()).await;
+            // The changes are read again whether a change has come or the wait has timed out.
+            let _ = tokio::time::timeout_at(deadline, changed.changed()).await;
         }
     }
 
@@ -115,30 +121,31 @@
 
 impl Store for MemoryStore {
     fn call(&self, call: StoreCall) -> BoxFuture<'_, Result<StoreReply, StoreError>> {
-        self.answer(call).boxed()
+        self.handle(call).boxed()
     }
 }
 
 fn is_too_large(tx: &Transaction) -> bool {
-    let entries = tx.expected.len() + tx.puts.len() + tx.drops.len();
+    let rows = tx.expected.len() + tx.puts.len() + tx.drops.len();
     let longest = tx.puts.iter().map(|(_, value)| value.len()).max();
-    // Values are sent as base64.
-    let values: usize = tx.puts.iter().map(|(_, value)| value.len() * 4 / 3).sum();
-    entries > MOST_ENTRIES
+    // Values are sent as base64, which makes them a third longer.
+    let encoded_bytes: usize = tx.puts.iter().map(|(_, value)| value.len() * 4 / 3).sum();
+    rows > MAX_TRANSACTION_ROWS
         || longest.is_some_and(|bytes| bytes > MAX_ROW_BYTES)
-        || values > MOST_BYTES
+        || encoded_bytes > MAX_TRANSACTION_BYTES
 }
 
 impl Contents {
     fn find(&self, key: &RowKey) -> Option<&Row> {
-        let place = (key.table, key.partition.clone(), key.key.clone());
-        self.rows.get(&place)
+        let full_key = (key.table, key.partition.clone(), key.key.clone());
+        self.rows.get(&full_key)
     }
 
     fn version_of(&self, key: &RowKey) -> Version {
         self.find(key).map_or(0, |row| row.version)
     }
 
+    /// Writes a row, or removes it if there is no value, and adds that to the changes.
     fn write(&mut self, key: &RowKey, value: Option<&String>) {
         let row = Row {
             partition: key.partition.clone(),
@@ -147,14 +154,16 @@
             version: self.version,
             dropped: value.is_none(),
         };
-        let place = (key.table, key.partition.clone(), key.key.clone());
+        let full_key = (key.table, key.partition.clone(), key.key.clone());
         match value {
-            Some(_) => self.rows.insert(place, row.clone()),
-            None => self.rows.remove(&place),
+            Some(_) => self.rows.insert(full_key, row.clone()),
+            None => self.rows.remove(&full_key),
         };
         self.changes.push((key.table, row));
     }
 
+    /// Lists the rows of a partition from the key `from` up to, but not including, the key `until`
+    /// (no bound if empty).
     fn list(
         &self,
         table: Table,
@@ -178,15 +187,19 @@
         }
     }
 
-    /// Changes in their order, and the version from which to go on.
+    /// Returns the table's changes after a version in their order, and the version from which to
+    /// continue.
     fn changes(&self, table: Table, after: Version) -> (Vec<Row>, Version) {
         let first = self
             .changes
             .partition_point(|(_, row)| row.version <= after);
         let mut rows: Vec<Row> = Vec::new();
-        for (_, row) in self.changes[first..].iter().filter(|(of, _)| *of == table) {
+        for (_, row) in self.changes[first..]
+            .iter()
+            .filter(|(row_table, _)| *row_table == table)
+        {
             match rows.last().map(|last| last.version) {
-                Some(last) if rows.len() >= MOST_CHANGES && last < row.version => {
+                Some(last) if rows.len() >= MAX_CHANGES && last < row.version => {
                     return (rows, last);
                 }
                 _ => rows.push(row.clone()),
--- a/src/embedded/worker.rs
+++ b/src/embedded/worker.rs
@@ -1,7 +1,8 @@
-//! Workers in memory: they run nothing, and keep leases and epochs as real ones do.
+//! In-memory workers: they run no code, but keep to leases and epochs as real ones do.
 //!
-//! [`MemoryWorker`] is pure, so experiments and tests drive it in virtual time;
-//! [`MemoryWorkers`] puts some of them behind the way that a node gives orders.
+//! [`MemoryWorker`] does no I/O and reads no clock, so experiments and tests drive it in virtual
+//! time; [`MemoryWorkers`] implements [`Workers`], by which a node calls workers, on top of several
+//! of them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,15 +20,15 @@
 use crate::node::links::Workers;
 
 /// How long a task runs whose text is not a number of milliseconds.
-const DEFAULT_LENGTH: Millis = 100;
-/// The longest lease that a worker gives; a longer one is cut down to it.
-const LONGEST_LEASE: Millis = 10_000;
-/// The text of tasks that never end by themselves.
+const DEFAULT_DURATION: Millis = 100;
+/// The longest lease that a worker accepts, in milliseconds; a longer one is cut to this length.
+const MAX_LEASE: Millis = 10_000;
+/// The text of a task that runs until it is stopped or its lease runs out.
 pub const ENDLESS: &str = "endless";
-/// How often a look that waits for an end looks whether one has come.
-const POLL: Duration = Duration::from_millis(5);
+/// How often a poll that waits for an end checks for one.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One run that a worker began, kept for tests.
+/// One run that a worker has begun, kept for tests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
     /// The task.
@@ -36,41 +37,47 @@
     pub number: u64,
     /// When it began, by the worker's clock.
     pub began: Millis,
-    /// When and how it ended; none while it goes on.
+    /// When and how it ended; none while it runs.
     pub ended: Option<(Millis, EndKind)>,
 }
 
+/// A run that has not ended.
 #[derive(Debug, Clone)]
-struct Going {
+struct ActiveRun {
     task: TaskName,
     number: u64,
     began: Millis,
     /// When it ends by itself; none if it never does.
-    ends: Option<Millis>,
-    /// Its place in the history.
+    ends_at: Option<Millis>,
+    /// The index of its record in the history.
     record: usize,
 }
 
 /// The state of one life of a worker.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryWorker {
+    /// The highest epoch seen; orders of lower ones are refused.
     epoch: u64,
-    due: Millis,
-    going: Vec<Going>,
-    ended: Vec<EndEntry>,
-    places: u64,
-    /// The highest number of each task that was stopped or has ended here.
-    barred: BTreeMap<TaskName, u64>,
-    /// Every run, in the order of their beginnings.
+    /// When the lease ends.
+    lease_end: Millis,
+    active: Vec<ActiveRun>,
+    /// The ends that no poll has told it to forget.
+    listed_ends: Vec<EndEntry>,
+    /// The number of the last end.
+    last_end_number: u64,
+    /// For each task, the highest run number that was stopped or has ended here; starts with this
+    /// or a lower number are refused.
+    refused_up_to: BTreeMap<TaskName, u64>,
+    /// All runs, in the order in which they began.
     pub history: Vec<RunRecord>,
-    /// Every task fails at its end.
+    /// Every task that runs to its end fails.
     pub fails_all_tasks: bool,
-    /// When this life started, if it tells.
+    /// When this life started, in Unix milliseconds; none if it does not report that.
     born: Option<Millis>,
 }
 
 impl MemoryWorker {
-    /// A life that tells when it started, in Unix milliseconds.
+    /// Creates a life that reports when it started, in Unix milliseconds.
     pub fn born_at(born: Millis) -> Self {
         Self {
             born: Some(born),
@@ -78,31 +85,32 @@
         }
     }
 
-    /// Ends what has run its time or lost its lease by `now`.
+    /// Ends the runs that have reached their end or the end of the lease by `now`, in the order of
+    /// these times.
     pub fn end_due_runs(&mut self, now: Millis) {
-        let due = self.due;
-        let end_of = |run: &Going| match run.ends {
-            Some(ends) if ends <= due => ends,
-            _ => due,
+        let lease_end = self.lease_end;
+        let end_of = |run: &ActiveRun| match run.ends_at {
+            Some(ends_at) if ends_at <= lease_end => ends_at,
+            _ => lease_end,
         };
-        let mut over: Vec<Going> = Vec::new();
-        self.going.retain(|run| {
+        let mut due: Vec<ActiveRun> = Vec::new();
+        self.active.retain(|run| {
             let ended = end_of(run) <= now;
             if ended {
-                over.push(run.clone());
+                due.push(run.clone());
             }
             !ended
         });
-        over.sort_by_key(end_of);
-        let well = if self.fails_all_tasks {
+        due.sort_by_key(end_of);
+        let finished = if self.fails_all_tasks {
             EndKind::Failed
         } else {
             EndKind::Done
         };
-        for run in over {
+        for run in due {
             let at = end_of(&run);
-            let how = if run.ends == Some(at) {
-                well
+            let how = if run.ends_at == Some(at) {
+                finished
             } else {
                 EndKind::Lapsed
             };
@@ -110,63 +118,67 @@
         }
     }
 
-    fn list_end(&mut self, run: &Going, at: Millis, how: EndKind) {
-        self.places += 1;
-        self.ended.push(EndEntry {
-            end_number: self.places,
+    /// Adds the end of a run to the list, and refuses the run from now on.
+    fn list_end(&mut self, run: &ActiveRun, at: Millis, how: EndKind) {
+        self.last_end_number += 1;
+        self.listed_ends.push(EndEntry {
+            end_number: self.last_end_number,
             task: run.task,
             number: run.number,
             how,
             checkpoint: String::new(),
         });
-        self.bar(run.task, run.number);
+        self.refuse_up_to(run.task, run.number);
         self.history[run.record].ended = Some((at, how));
     }
 
-    fn extend(&mut self, due: Millis, now: Millis) {
-        self.due = self.due.max(due.min(now + LONGEST_LEASE));
+    /// Extends the lease to `due`, or to [`MAX_LEASE`] from now if that is earlier.  A lease is
+    /// never shortened.
+    fn extend_lease(&mut self, due: Millis, now: Millis) {
+        self.lease_end = self.lease_end.max(due.min(now + MAX_LEASE));
     }
 
-    fn bar(&mut self, task: TaskName, number: u64) {
-        let barred = self.barred.entry(task).or_default();
-        *barred = number.max(*barred);
+    fn refuse_up_to(&mut self, task: TaskName, number: u64) {
+        let highest = self.refused_up_to.entry(task).or_default();
+        *highest = number.max(*highest);
     }
 
-    /// When everything that runs here ends unless the lease is renewed.
+    /// Returns when everything that runs here ends unless the lease is renewed.
     pub fn lease_end(&self) -> Millis {
-        self.due
+        self.lease_end
     }
 
-    /// It tells from now on when it started, in Unix milliseconds.
+    /// Makes it report from now on when it started, in Unix milliseconds.
     pub fn set_born(&mut self, born: Millis) {
         self.born = Some(born);
     }
 
-    /// The highest epoch that it has seen.
+    /// Returns the highest epoch that it has seen.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Ends that it was not told to forget yet.
+    /// Returns the ends that it has not been told to forget.
     pub fn ends(&self) -> &[EndEntry] {
-        &self.ended
+        &self.listed_ends
     }
 
-    /// Tells whether ends wait to be taken note of.
+    /// Tells whether it lists any ends, after it has ended the runs that are due by `now`.
     pub fn has_ends(&mut self, now: Millis) -> bool {
         self.end_due_runs(now);
-        !self.ended.is_empty()
+        !self.listed_ends.is_empty()
     }
 
-    /// This life is over, and nothing more is told of it.
+    /// Ends this life.  Runs that are not due yet are noted in the history as lapsed, and no end is
+    /// listed for them.
     pub fn crash(&mut self, now: Millis) {
         self.end_due_runs(now);
-        for run in self.going.drain(..) {
+        for run in self.active.drain(..) {
             self.history[run.record].ended = Some((now, EndKind::Lapsed));
         }
     }
 
-    /// Carries a start out.
+    /// Executes a start; returns [`StartOutcome::Started`] also if the run is active already.
     pub fn start(&mut self, order: &StartOrder, now: Millis) -> StartOutcome {
         self.end_due_runs(now);
         if order.to.epoch < self.epoch {
@@ -176,28 +188,28 @@
         if order.due <= now {
             return StartOutcome::Refused(Refusal::Late);
         }
-        self.extend(order.due, now);
-        let barred = self.barred.get(&order.task);
-        if barred.is_some_and(|&number| number >= order.number) {
+        self.extend_lease(order.due, now);
+        let refused_up_to = self.refused_up_to.get(&order.task);
+        if refused_up_to.is_some_and(|&number| number >= order.number) {
             return StartOutcome::Refused(Refusal::OldRun);
         }
-        let is_this = |run: &Going| (run.task, run.number) == (order.task, order.number);
-        if !self.going.iter().any(is_this) {
-            self.begin(order, now);
+        let is_this = |run: &ActiveRun| (run.task, run.number) == (order.task, order.number);
+        if !self.active.iter().any(is_this) {
+            self.begin_run(order, now);
         }
         StartOutcome::Started
     }
 
-    fn begin(&mut self, order: &StartOrder, now: Millis) {
-        let length = match &*order.text {
+    fn begin_run(&mut self, order: &StartOrder, now: Millis) {
+        let duration = match &*order.text {
             ENDLESS => None,
-            text => Some(text.parse().unwrap_or(DEFAULT_LENGTH)),
+            text => Some(text.parse().unwrap_or(DEFAULT_DURATION)),
         };
-        self.going.push(Going {
+        self.active.push(ActiveRun {
             task: order.task,
             number: order.number,
             began: now,
-            ends: length.map(|length| now + length),
+            ends_at: duration.map(|duration| now + duration),
             record: self.history.len(),
         });
         self.history.push(RunRecord {
@@ -208,40 +220,41 @@
         });
     }
 
-    /// Carries a stop out; a run that is not there will be refused.
+    /// Executes a stop; a run that is not active is refused if its start arrives later.
     ///
     /// # Errors
-    /// Refuses orders of a lower epoch.
+    /// Refuses an order with a lower epoch than the highest one seen.
     pub fn stop(&mut self, order: &StopOrder, now: Millis) -> Result<(), Refusal> {
         self.end_due_runs(now);
         if order.to.epoch < self.epoch {
             return Err(Refusal::Epoch);
         }
         self.epoch = order.to.epoch;
-        let is_this = |run: &Going| (run.task, run.number) == (order.task, order.number);
-        match self.going.iter().position(is_this) {
-            Some(place) => {
-                let run = self.going.remove(place);
+        let is_this = |run: &ActiveRun| (run.task, run.number) == (order.task, order.number);
+        match self.active.iter().position(is_this) {
+            Some(index) => {
+                let run = self.active.remove(index);
                 self.list_end(&run, now, EndKind::Stopped);
             }
-            None => self.bar(order.task, order.number),
+            None => self.refuse_up_to(order.task, order.number),
         }
         Ok(())
     }
 
-    /// Shows what runs and what has ended, and renews the lease.
+    /// Forgets the ends that the order names, renews the lease, and lists the active runs and the
+    /// remaining ends.
     ///
     /// # Errors
-    /// Refuses orders of a lower epoch.
+    /// Refuses an order with a lower epoch than the highest one seen.
     pub fn poll(&mut self, order: &PollOrder, now: Millis) -> Result<PollReport, PollFailure> {
         self.end_due_runs(now);
         if order.to.epoch < self.epoch {
             return Err(PollFailure::Refused(Refusal::Epoch));
         }
         self.epoch = order.to.epoch;
-        self.extend(order.due.unwrap_or_default(), now);
-        self.ended.retain(|end| end.end_number > order.forget);
-        let running = self.going.iter().map(|run| RunningEntry {
+        self.extend_lease(order.due.unwrap_or_default(), now);
+        self.listed_ends.retain(|end| end.end_number > order.forget);
+        let running = self.active.iter().map(|run| RunningEntry {
             task: run.task,
             number: run.number,
             checkpoint: String::new(),
@@ -252,28 +265,28 @@
             born: self.born,
             clock: now,
             running: running.collect(),
-            ended: self.ended.clone(),
+            ended: self.listed_ends.clone(),
         })
     }
 }
 
-/// How much of a run's work is done, in hundredths.
-fn percent(run: &Going, now: Millis) -> u32 {
-    let Some(ends) = run.ends else {
+/// Returns how much of a run's time has passed, in percent; 100 for a run without an end.
+fn percent(run: &ActiveRun, now: Millis) -> u32 {
+    let Some(ends_at) = run.ends_at else {
         return 100;
     };
-    let length = (ends - run.began).max(1);
-    ((now - run.began) * 100 / length) as u32
+    let duration = (ends_at - run.began).max(1);
+    ((now - run.began) * 100 / duration) as u32
 }
 
-/// Some workers behind the way that a node gives orders.
+/// Several in-memory workers that a node in the same process can call.
 pub struct MemoryWorkers {
     clock: Arc<dyn Clock>,
     workers: Mutex<HashMap<String, MemoryWorker>>,
 }
 
 impl MemoryWorkers {
-    /// Makes workers with these ids, whose clocks all show the time of `clock`.
+    /// Creates workers with these ids; their clocks all show the time of `clock`.
     pub fn new(clock: Arc<dyn Clock>, ids: impl IntoIterator<Item = String>) -> Self {
         let worker = |id| (id, MemoryWorker::default());
         Self {
@@ -282,7 +295,7 @@
         }
     }
 
-    /// Every run that any of them began, as it stands now.
+    /// Returns all runs that any of them has begun, after the due ones have ended.
     pub fn history(&self) -> Vec<RunRecord> {
         let now = self.clock.now();
         let mut workers = self.lock();
@@ -297,19 +310,22 @@
         self.workers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Polls a worker until it lists an end or `order.wait` has passed.
     async fn poll_until_end(&self, order: &PollOrder) -> Result<PollReport, PollFailure> {
-        let until = self.clock.now() + order.wait;
+        let deadline = self.clock.now() + order.wait;
         loop {
             let now = self.clock.now();
-            let look = match self.lock().get_mut(&order.to.life.id) {
+            let result = match self.lock().get_mut(&order.to.life.id) {
                 Some(worker) => worker.poll(order, now),
                 None => Err(PollFailure::Refused(Refusal::Gone)),
             };
-            let news = look.as_ref().map_or(true, |look| !look.ended.is_empty());
-            if news || now >= until {
-                return look;
+            let is_final = result
+                .as_ref()
+                .map_or(true, |report| !report.ended.is_empty());
+            if is_final || now >= deadline {
+                return result;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(END_CHECK_INTERVAL).await;
         }
     }
 }
