--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -1,11 +1,12 @@
-//! Starts that are forgotten with the owners that made them.
+//! Starts that are lost with the owners that made them, before anything of them was recorded.
 //!
-//! Seen: random runs whose owners are lost just after their starts (seed 700700 among them) started a
-//! task that crashes its workers a sixth time.  How it came about: one owner forgot its start; the next
-//! one found the worker's life over while the row of the task's job could not be read, marked and
-//! recorded the jobs that it had read, and took the life off the roster; the third one, which read the
-//! row, found no trace of it and started the task unrecorded again.  Each play here is one of the ways
-//! in which what an owner finds out can be lost with it (docs/incidents/crashing-tasks.md).
+//! Guards against a sixth start of a task that crashes its workers, where five are allowed.  In
+//! random runs whose owners were lost just after their starts (seed 700700 among them) one owner
+//! forgot its start.  The next one found that the worker's life had ended while it could not read
+//! the row of the task's job; it marked and recorded the jobs that it had read, and removed the
+//! life from the roster.  The third one read the row, found no trace of the life and started the
+//! task once more without recording that first.  Each test covers one way in which what an owner
+//! has found out can be lost with it (docs/incidents/crashing-tasks.md).
 
 mod cell_core;
 
@@ -21,31 +22,34 @@
 use crossweir::cell::{Cell, tuning};
 use crossweir::clock::Millis;
 
+/// The id of the job whose task crashes its workers.
 const CULPRIT: u64 = 7;
-/// More jobs than go into the record that is made while the owner is lost.
+/// The ids of the other jobs: more than fit into the record that is made while the owner is lost.
 const OTHERS: std::ops::Range<u64> = 1..CULPRIT;
-/// When the lives of workers that tell began, in Unix milliseconds.
+/// When the first lives of workers that report their start began, in Unix milliseconds.
 const BORN: Millis = 1_700_000_000_000;
+/// By how much time advances with each poll of all workers and each change of owner.
 const STEP: Millis = 10;
 
-/// What an owner leaves to the next one, and the one that has the cell.
+/// A cell with its present owner, and the rows that its owners have recorded.
 struct Site {
     now: Millis,
     epoch: u64,
     cell: Cell,
     roster: BTreeMap<String, RosterEntry>,
     progress: BTreeMap<JobId, JobProgress>,
-    /// What the platform lists.
+    /// The entries that the platform lists.
     entries: Vec<WorkerEntry>,
-    /// Workers that do not answer.
+    /// The ids of workers that do not answer.
     down: Vec<String>,
 }
 
+/// The row of a job of one task.
 fn row(id: u64) -> JobRow {
     job(id, &queue("q", 0), vec![step(1, 1_000)])
 }
 
-/// Two workers, by the names of their lives.
+/// The entries of two workers, whose lives report this start time, if any.
 fn entries(born: Option<Millis>) -> Vec<WorkerEntry> {
     let entry = |number| {
         let mut entry = worker(number);
@@ -56,8 +60,8 @@
 }
 
 impl Site {
-    /// An owner has started the culprit, which has crashed its worker, and is lost.  The others
-    /// wait for their time, as jobs do that are read and not started.
+    /// A site whose first owner has started the culprit and recorded nothing of that.  The worker
+    /// has crashed.
     fn after_a_forgotten_start(entries: Vec<WorkerEntry>) -> Self {
         let mut site = Self {
             now: 1_000,
@@ -69,15 +73,15 @@
             down: Vec::new(),
         };
         site.take_over(&[]);
-        site.look();
+        site.poll_all();
         site.record(100);
         site.cell.accept(&row(CULPRIT), None, false, site.now);
-        let crashed = site.start_of_culprit().expect("a start at once");
+        let crashed = site.schedule_culprit().expect("a start at once");
         site.down.push(crashed);
         site
     }
 
-    /// Another owner claims the cell and reads what is recorded, and the rows of these jobs.
+    /// A new owner claims the cell and reads the roster, the progress and the rows of these jobs.
     fn take_over(&mut self, jobs: &[u64]) {
         self.now += STEP;
         self.epoch = tuning::next_epoch(self.epoch);
@@ -92,29 +96,29 @@
         self.cell.tick(self.now);
     }
 
-    /// The same, while the culprit's row cannot be read.
+    /// A new owner claims the cell and reads everything except the culprit's row.
     fn take_over_without_the_culprit(&mut self) {
         self.take_over(&OTHERS.collect::<Vec<_>>());
         self.cell.set_has_unread_jobs(true);
     }
 
-    /// The owner hears which lives are over, and records all that it can.
-    fn find_out(&mut self) {
+    /// The owner polls all workers, which shows it the ended lives, and records all that it can.
+    fn poll_and_record(&mut self) {
         for _ in 0..2 {
-            self.look();
+            self.poll_all();
         }
         for _ in 0..2 {
             self.record(100);
         }
     }
 
-    /// All workers are looked at, and those that are not down answer.
-    fn look(&mut self) {
+    /// Polls all workers; those that are not down answer.
+    fn poll_all(&mut self) {
         self.now += STEP;
         for key in self.cell.worker_keys() {
             let order = self.cell.poll_order(key, self.now);
             let Some(order) = order else {
-                // It went with another one.
+                // Its life has ended by the answer of another one.
                 continue;
             };
             let life = &order.to.life;
@@ -129,19 +133,19 @@
                 self.cell.poll_failed(key, failure, self.now);
                 continue;
             }
-            let look = PollReport {
+            let report = PollReport {
                 born: entry.life.born,
                 clock: self.now,
                 running: Vec::new(),
                 ended: Vec::new(),
             };
-            self.cell.poll_answered(&order, &look, self.now);
+            self.cell.poll_answered(&order, &report, self.now);
         }
         self.cell.tick(self.now);
     }
 
-    /// The next life of a worker answers, under this name.
-    fn comes_back(&mut self, former: &str, life: Life) {
+    /// Replaces a worker that is down by its next life `life`, and lists that.
+    fn restart(&mut self, former: &str, life: Life) {
         self.down.retain(|id| id != former);
         let mut entries = self.entries.iter_mut();
         let entry = entries.find(|entry| entry.life.id == former);
@@ -150,8 +154,8 @@
         self.cell.list_worker(entry.clone(), self.now);
     }
 
-    /// The roster and so many jobs are recorded, as one transaction may hold.
-    fn record(&mut self, most_jobs: usize) {
+    /// Records the roster and at most `max_jobs` jobs, as a transaction of limited size does.
+    fn record(&mut self, max_jobs: usize) {
         let (version, changes) = self.cell.take_roster_changes();
         for RosterChange { id, entry } in changes {
             match entry {
@@ -159,7 +163,7 @@
                 None => self.roster.remove(&id),
             };
         }
-        let batch = self.cell.take_batch(most_jobs);
+        let batch = self.cell.take_batch(max_jobs);
         for (_, id, progress) in &batch.rows {
             self.progress.insert(*id, progress.clone());
         }
@@ -167,8 +171,9 @@
         self.cell.batch_recorded(batch, self.now);
     }
 
-    /// Decides; names the worker on which the culprit is started without a record, if it is.
-    fn start_of_culprit(&mut self) -> Option<String> {
+    /// Runs a scheduling round, in which no start is answered.  Returns the id of the worker to
+    /// which a start of the culprit was sent, if any.
+    fn schedule_culprit(&mut self) -> Option<String> {
         self.cell.schedule(self.now);
         let mut started = None;
         for order in starts(&self.cell.take_orders()) {
@@ -181,55 +186,65 @@
         started
     }
 
-    /// Asserts that a successor that reads all starts the culprit, and records that first.
-    fn assert_recorded_first(mut self) {
+    /// Asserts that a successor that reads all rows plans a start of the culprit, and records it
+    /// before sending it.
+    fn assert_next_start_is_recorded_first(mut self) {
         let all: Vec<u64> = OTHERS.chain([CULPRIT]).collect();
         self.take_over(&all);
-        self.look();
+        self.poll_all();
         self.record(100);
-        assert_eq!(self.start_of_culprit(), None, "started without a record");
+        assert_eq!(
+            self.schedule_culprit(),
+            None,
+            "the culprit was started without a record"
+        );
         let batch = self.cell.take_batch(100);
         let rows = batch.rows.iter().filter(|(_, id, _)| *id == JobId(CULPRIT));
         let mut losses = rows.flat_map(|(.., progress)| &progress.tasks);
-        assert!(losses.any(|task| !task.losses.is_empty()), "not started");
+        assert!(
+            losses.any(|task| !task.losses.is_empty()),
+            "no start of the culprit is planned"
+        );
     }
 }
 
-/// Seed 700700 and its like, as a script: the row of the job is not read by the owner that finds out.
+/// The owner that finds the life ended cannot read the row of the job (seed 700700 and others, as a
+/// script).
 #[test]
-fn a_start_is_not_forgotten_twice_if_its_job_is_unread_when_the_life_is_found_over() {
+fn a_start_is_not_forgotten_twice_if_its_job_is_unread_when_the_life_is_found_ended() {
     // Arrange: the culprit's first start is forgotten.
     let mut site = Site::after_a_forgotten_start(entries(None));
     let crashed = site.down[0].clone();
 
-    // Act: the next owner reads the others, finds the life over, records that, and is lost.
+    // Act: the next owner reads the other jobs, finds the life ended, records that, and is lost.
     site.take_over_without_the_culprit();
-    site.comes_back(&crashed, Life::of("w9"));
-    site.find_out();
+    site.restart(&crashed, Life::of("w9"));
+    site.poll_and_record();
 
     // Assert.
-    site.assert_recorded_first();
+    site.assert_next_start_is_recorded_first();
 }
 
-/// The same over owners that follow one another, none of which reads the row.
+/// Several owners in a row find the life ended, none of which can read the row of the job.
 #[test]
 fn a_start_is_not_forgotten_twice_over_many_owners_that_do_not_read_its_job() {
     // Arrange.
     let mut site = Site::after_a_forgotten_start(entries(None));
     let crashed = site.down[0].clone();
-    site.comes_back(&crashed, Life::of("w9"));
+    site.restart(&crashed, Life::of("w9"));
 
     // Act.
     for _ in 0..4 {
         site.take_over_without_the_culprit();
-        site.find_out();
+        site.poll_and_record();
     }
 
     // Assert.
-    site.assert_recorded_first();
+    site.assert_next_start_is_recorded_first();
 }
 
-/// A worker that keeps its id: its entry is written anew before the marks of all jobs are.
+/// The worker keeps its id, so its next life replaces the ended one in the roster before the marks
+/// of all jobs are recorded.
 #[test]
 fn a_start_is_not_forgotten_twice_if_the_next_life_of_the_id_is_recorded_before_the_jobs() {
     // Arrange.
@@ -242,16 +257,16 @@
 
     // Act: of seven marks one is recorded.
     site.take_over(&OTHERS.chain([CULPRIT]).collect::<Vec<_>>());
-    site.comes_back(&crashed, next);
-    site.look();
+    site.restart(&crashed, next);
+    site.poll_all();
     site.record(1);
 
     // Assert.
-    site.assert_recorded_first();
+    site.assert_next_start_is_recorded_first();
 }
 
-/// No other life answers: the lease is waited for, and the worker leaves the roster before the marks of all
-/// jobs are recorded.
+/// No other life answers, so the worker leaves the roster when its lease has run out, before the
+/// marks of all jobs are recorded.
 #[test]
 fn a_start_is_not_forgotten_twice_if_its_worker_is_never_heard_again() {
     // Arrange.
@@ -263,23 +278,23 @@
     // Act: of seven marks one is recorded.
     for _ in 0..20 {
         site.now += tuning::LEASE / 10;
-        site.look();
+        site.poll_all();
     }
     site.record(1);
 
     // Assert.
-    site.assert_recorded_first();
+    site.assert_next_start_is_recorded_first();
 }
 
-/// Seed 50338 of the random runs as a script: three owners are lost just after their starts, on workers
-/// that keep their ids, and the task was started a sixth time.
+/// Guards against a sixth start after three owners are lost just after their starts, on workers
+/// that keep their ids (seed 50338 of the random runs, as a script).
 #[test]
-fn of_three_owners_that_are_lost_just_after_a_start_on_kept_ids_one_forgets_it() {
-    // Arrange: the first one has forgotten its start.
+fn of_three_owners_lost_just_after_a_start_on_kept_ids_only_one_forgets_it() {
+    // Arrange: the first owner has forgotten its start.
     let mut site = Site::after_a_forgotten_start(entries(Some(BORN)));
     let all: Vec<u64> = OTHERS.chain([CULPRIT]).collect();
 
-    // Act: the others start it too, and are lost at once.
+    // Act: three more owners start the culprit, and are lost at once.
     let mut unrecorded = 0;
     for time in 1..=3 {
         let crashed = site.down[0].clone();
@@ -288,13 +303,13 @@
             id: crashed.clone(),
             born: Some(BORN + time * 5_000),
         };
-        site.comes_back(&crashed, next);
-        site.look();
+        site.restart(&crashed, next);
+        site.poll_all();
         site.record(100);
-        unrecorded += usize::from(site.start_of_culprit().is_some());
+        unrecorded += usize::from(site.schedule_culprit().is_some());
         site.record(100);
-        site.look();
-        let started = site.start_of_culprit();
+        site.poll_all();
+        let started = site.schedule_culprit();
         site.down = vec![started.unwrap_or(crashed)];
     }
 
@@ -302,10 +317,10 @@
     assert_eq!(unrecorded, 0, "a start of a later owner was not recorded");
 }
 
-/// A second life of an id is lost while the first one's record is on its way.
+/// A second life of an id ends while the record of the first one's end is being written.
 #[test]
-fn a_life_that_is_lost_during_a_record_stays_in_the_roster() {
-    // Arrange: the second owner has found the first life over, and its record is on its way.
+fn a_life_that_ends_while_a_record_is_written_stays_in_the_roster() {
+    // Arrange: the second owner has found the first life ended, and its record is being written.
     let mut site = Site::after_a_forgotten_start(entries(Some(BORN)));
     let crashed = site.down[0].clone();
     let next = |time| Life {
@@ -313,17 +328,17 @@
         born: Some(BORN + time),
     };
     site.take_over(&OTHERS.collect::<Vec<_>>());
-    site.comes_back(&crashed, next(5_000));
-    site.look();
+    site.restart(&crashed, next(5_000));
+    site.poll_all();
     let batch = site.cell.take_batch(100);
 
-    // Act: another one is lost with what was started there.
+    // Act: the second life ends as well, with a start on it.
     site.cell.accept(&row(CULPRIT), None, false, site.now);
     site.cell.mark_roster_recorded(site.cell.roster_version());
-    site.look();
-    site.start_of_culprit();
-    site.comes_back(&crashed, next(9_000));
-    site.look();
+    site.poll_all();
+    site.schedule_culprit();
+    site.restart(&crashed, next(9_000));
+    site.poll_all();
     site.cell.batch_recorded(batch, site.now);
     let (_, roster) = site.cell.roster();
 
