--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -1,5 +1,8 @@
-//! What an owner has not heard of, or what another life of a machine seems to prove, is not
-//! taken for over; and what has lapsed for certain holds nothing up.
+//! Runs and lives that an owner must not take for ended, and leases that have certainly run out.
+//!
+//! Guards against tasks that are started again because an outdated entry, or what the owner has not
+//! read or heard yet, makes a run that goes on look ended.  Guards as well against jobs that wait
+//! for a worker on which nothing can run any more, since its lease has run out.
 
 mod cell_core;
 
@@ -18,18 +21,21 @@
 use crossweir::cell::worker::WorkerEntry;
 use crossweir::queue::Queue;
 
+/// The task of job 7, whose row is read.
 const KNOWN: &str = "0000000000000007.0.0.0";
+/// The task of job 8, whose row could not be read.
 const UNREAD: &str = "0000000000000008.0.0.0";
 
-fn end(place: u64, task: &str, number: u64, how: EndKind, saved: &str) -> EndEntry {
+/// A worker's list entry for a run that has ended and left this checkpoint.
+fn end(end_number: u64, task: &str, number: u64, how: EndKind, checkpoint: &str) -> EndEntry {
     EndEntry {
-        checkpoint: saved.to_owned(),
-        ..listed_end(place, task, number, how)
+        checkpoint: checkpoint.to_owned(),
+        ..listed_end(end_number, task, number, how)
     }
 }
 
-/// Another life at the place of the first worker; its entry stays for some heartbeats after
-/// a crash, so the platform lists both.
+/// The entry of another life at the address of the first worker.  An entry stays for some
+/// heartbeats after a crash, so the platform lists both lives.
 fn life(id: &str) -> WorkerEntry {
     WorkerEntry {
         life: Life::of(id),
@@ -37,8 +43,8 @@
     }
 }
 
-/// A successor of an owner that used the second life of the first worker and another worker,
-/// while the platform lists the life that is over as well, under the id `stale`.
+/// A successor of an owner that used the second life of the first worker, `w5`, and another worker.
+/// The platform lists the life that has ended as well, under the id `stale`.
 fn successor_with_a_stale_entry(q: &Queue, stale: &str) -> Bench {
     let now = 1_000;
     let mut cell = Cell::new(2, configuration(std::slice::from_ref(q)), now);
@@ -54,7 +60,7 @@
     Bench::with(cell, now)
 }
 
-/// Starts that a successor orders when only the second worker has answered.
+/// The number of starts that a successor orders when only the second worker has answered.
 fn starts_after_one_answer(bench: &mut Bench) -> usize {
     let keys = bench.cell.worker_keys();
     let other = keys.into_iter().find(|&key| {
@@ -67,7 +73,7 @@
 }
 
 #[test]
-fn a_stale_entry_does_not_free_a_successor_from_asking_the_present_life() {
+fn a_stale_entry_does_not_free_a_successor_from_waiting_for_the_present_life() {
     for stale in ["w0", "w9"] {
         // Arrange.
         let q = queue("q", 0);
@@ -83,14 +89,14 @@
 
 #[test]
 fn a_stale_entry_does_not_end_the_runs_of_the_present_life() {
-    // Arrange: a run on the first worker.
+    // Arrange: a task runs on one of two workers.
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
     bench.accept(&job(7, &q, vec![step(1, 16_000)]));
     let first = bench.start_all().remove(0);
     let number = if first.to.life.id == "w0" { 0 } else { 1 };
 
-    // Act: the list is read anew, with an earlier life at the same address still in it.
+    // Act: all entries are read again, among them that of an earlier life at the same address.
     let stale = WorkerEntry {
         life: Life::of("v"),
         ..worker(number)
@@ -109,8 +115,8 @@
     );
 }
 
-/// A job of one task that runs twice, a second apart from time 10,000 on.
-fn timed_job(q: &Queue) -> JobRow {
+/// A job of one task with two occurrences, a second apart from time 10,000 on.
+fn scheduled_job(q: &Queue) -> JobRow {
     let mut row = job(7, q, vec![step(1, 1_000)]);
     row.spec.schedule = Some(Schedule {
         times: 2,
@@ -120,21 +126,21 @@
     row
 }
 
-/// A successor whose time of day is behind its predecessor's, by which the first time of a
-/// job had begun.
-fn successor_with_a_slower_time_of_day(q: &Queue) -> Bench {
+/// A successor whose wall clock is behind that of its predecessor, by which the first occurrence of
+/// a job had begun.
+fn successor_with_a_slow_wall_clock(q: &Queue) -> Bench {
     let mut bench = Bench::under(2, 2, std::slice::from_ref(q));
     bench.cell.set_wall_clock(9_800);
     let now = bench.now;
-    bench.cell.accept(&timed_job(q), None, true, now);
+    bench.cell.accept(&scheduled_job(q), None, true, now);
     bench
 }
 
 #[test]
-fn a_run_of_a_time_that_a_former_owner_began_is_not_stopped() {
+fn a_run_of_an_occurrence_that_a_former_owner_began_is_not_stopped() {
     // Arrange.
     let q = queue("q", 0);
-    let mut bench = successor_with_a_slower_time_of_day(&q);
+    let mut bench = successor_with_a_slow_wall_clock(&q);
     let worker = bench.worker(0);
 
     // Act.
@@ -146,14 +152,14 @@
 }
 
 #[test]
-fn a_task_of_a_time_that_a_former_owner_began_is_not_started_after_its_end() {
+fn a_task_of_an_occurrence_that_a_former_owner_began_is_not_started_after_its_end() {
     // Arrange.
     let q = queue("q", 0);
-    let mut bench = successor_with_a_slower_time_of_day(&q);
+    let mut bench = successor_with_a_slow_wall_clock(&q);
     let worker = bench.worker(0);
     let ends = || vec![end(1, KNOWN, 5, EndKind::Done, "")];
 
-    // Act: the end is listed before the time has come here.
+    // Act: the end is listed before the occurrence is due by this owner's clock.
     bench.poll_with_lists(worker, Vec::new(), ends());
     bench.record();
     let forget = bench.cell.poll_order(worker, bench.now).map(|o| o.forget);
@@ -167,11 +173,11 @@
     // Assert.
     assert!(
         started.is_empty(),
-        "it is done, forgotten {forget:?}: {started:?}"
+        "the task is done; ends forgotten: {forget:?}, starts: {started:?}"
     );
 }
 
-/// An owner with two workers that knows job 7 and could not read job 8.
+/// An owner with two workers that knows job 7 and cannot read job 8 yet.
 fn owner_with_unread_jobs() -> Bench {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
@@ -183,8 +189,8 @@
     bench
 }
 
-/// The first worker falls silent until its lease has run out; the other one answers.
-fn let_the_first_lease_run_out(bench: &mut Bench) {
+/// Lets the first worker fall silent until its lease has run out, while the other one answers.
+fn let_first_lease_run_out(bench: &mut Bench) {
     let (first, other) = (bench.worker(0), bench.worker(1));
     for _ in 0..100 {
         bench
@@ -196,32 +202,32 @@
 }
 
 #[test]
-fn a_worker_whose_lease_ran_out_holds_no_job_up_with_ends_that_it_did_not_list() {
-    // Arrange: a full list of ends.
+fn a_worker_whose_lease_ran_out_delays_no_job_by_ends_that_it_did_not_list() {
+    // Arrange: a worker lists as many ends as fit, so there may be more that it did not list.
     let mut bench = owner_with_unread_jobs();
     let worker = bench.worker(0);
-    let most = tuning::MAX_ENDS_LISTED as u64;
-    let full = (1..=most).map(|place| end(place, UNREAD, place, EndKind::Done, ""));
+    let max = tuning::MAX_ENDS_LISTED as u64;
+    let full = (1..=max).map(|number| end(number, UNREAD, number, EndKind::Done, ""));
     bench.poll_with_lists(worker, Vec::new(), full.collect());
 
     // Act.
-    let_the_first_lease_run_out(&mut bench);
+    let_first_lease_run_out(&mut bench);
     bench.cell.set_has_unread_jobs(false);
     let started = starts(&bench.decide());
 
     // Assert.
-    assert_eq!(started.len(), 1, "nothing of it can run any more");
+    assert_eq!(started.len(), 1, "no run on the silent worker can go on");
 }
 
 #[test]
 fn a_job_that_is_read_late_does_not_wait_for_a_worker_whose_lease_ran_out() {
-    // Arrange: the worker runs nothing but a task of the job that was not read.
+    // Arrange: the worker runs only a task of the job that is not read.
     let mut bench = owner_with_unread_jobs();
     let worker = bench.worker(0);
     bench.poll_with_lists(worker, vec![listed_run(UNREAD, 5)], Vec::new());
 
-    // Act: it is cut off, and the job is read long after.
-    let_the_first_lease_run_out(&mut bench);
+    // Act: it is cut off, and the job is read after its lease has run out.
+    let_first_lease_run_out(&mut bench);
     let row = job(8, &queue("q", 0), vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
     bench.cell.set_has_unread_jobs(false);
@@ -229,7 +235,7 @@
 
     // Assert.
     let jobs: Vec<u64> = started.iter().map(|start| start.task.step.job.0).collect();
-    assert_eq!(jobs, [7, 8], "nothing of them can run any more");
+    assert_eq!(jobs, [7, 8], "no run on the silent worker can go on");
 }
 
 #[test]
@@ -241,7 +247,7 @@
     bench.poll_with_lists(worker, Vec::new(), ends);
 
     // Act.
-    let_the_first_lease_run_out(&mut bench);
+    let_first_lease_run_out(&mut bench);
     let (_, entries) = bench.cell.roster();
 
     // Assert.
@@ -250,7 +256,7 @@
 }
 
 #[test]
-fn progress_that_an_end_of_a_former_run_brings_is_recorded_before_it_is_forgotten() {
+fn a_checkpoint_in_the_end_of_a_former_run_is_recorded_before_the_end_is_forgotten() {
     // Arrange.
     let q = queue("q", 0);
     let mut bench = Bench::under(2, 2, std::slice::from_ref(&q));
@@ -267,12 +273,12 @@
 
     // Assert.
     let tasks = batch.rows.iter().flat_map(|(_, _, row)| &row.tasks);
-    let saved: Vec<&str> = tasks.map(|task| task.checkpoint.as_str()).collect();
-    assert_eq!((forget, saved), (Some(1), vec!["saved"]));
+    let checkpoints: Vec<&str> = tasks.map(|task| task.checkpoint.as_str()).collect();
+    assert_eq!((forget, checkpoints), (Some(1), vec!["saved"]));
 }
 
-/// Starts of job 7's task, which a worker ran when it first answered its new owner; then it is
-/// silent for `silence`, before a look could renew its lease.
+/// The number of starts of job 7's task, which a worker runs when it first answers its new owner.
+/// The worker is then silent for `silence`, before another poll could renew its lease.
 fn starts_after_a_first_answer_and_silence(silence: u64) -> usize {
     let q = queue("q", 0);
     let mut cell = Cell::new(2, configuration(std::slice::from_ref(&q)), 1_000);
@@ -303,7 +309,7 @@
 
 #[test]
 fn the_lease_that_a_former_owner_gave_is_waited_out_after_a_single_answer() {
-    // Arrange, act: the former owner may have renewed the lease until just before.
+    // Arrange, act: the former owner may have renewed the lease just before the answer.
     let early = starts_after_a_first_answer_and_silence(3_400);
     let late = starts_after_a_first_answer_and_silence(6_000);
 
