--- a/tests/awaited_verdicts.rs
+++ b/tests/awaited_verdicts.rs
@@ -1,7 +1,8 @@
-//! Starts whose worker is lost before their answer has come.
+//! Starts whose worker is lost before their answer arrives.
 //!
-//! Seen: a job of a random run (seed 10228 of `tests/lost_owners.rs`) neither ran nor ended for as long
-//! as its owner was there: the verdict on its last start was awaited, and nobody could bring it.
+//! Guards against a job that neither runs nor ends while its owner lives: the verdict on its last
+//! start was awaited, and nothing could bring that verdict any more (seed 10228 of
+//! `tests/lost_owners.rs`).
 
 mod cell_core;
 
@@ -10,11 +11,11 @@
 use crossweir::cell::order::{Refusal, StartOutcome};
 use crossweir::cell::spec::JobId;
 
-/// What was noted of a start was kept by its place among the runs, which the next run took over.
+/// The note on an awaited start was kept under the slot of its run, which the next run reused.
 #[test]
-fn the_answer_to_a_start_counts_though_another_start_has_been_lost_since() {
-    // Arrange: starts are lost with their workers before their answers come; the first one's task is
-    // started again with the second job's, and lost again.
+fn the_answer_to_a_start_counts_although_another_start_has_been_lost_since() {
+    // Arrange: workers are lost before they answer their starts. The task of the first job is
+    // started again together with that of the second job, and its worker is lost again.
     let q = queue("q", 0);
     let mut bench = Bench::new(4, std::slice::from_ref(&q));
     let mut lost = Vec::new();
@@ -27,18 +28,22 @@
         }
         lost.extend(started);
     }
-    assert_eq!(lost.len(), 3, "all were started");
+    assert_eq!(lost.len(), 3, "three starts were sent");
 
-    // Act: the answers come: none was carried out.
+    // Act: the answers arrive: no start was executed.
     let gone = StartOutcome::Refused(Refusal::Gone);
     for order in lost {
         bench.cell.start_answered(order.run, gone, None, bench.now);
     }
 
     // Assert.
-    let held = |id| {
+    let lost_runs = |id| {
         let view = bench.cell.view(JobId(id), bench.now);
         view.expect("a known job").steps[0].lost_runs
     };
-    assert_eq!([1, 2].map(held), [0, 0], "held against the jobs for ever");
+    assert_eq!(
+        [1, 2].map(lost_runs),
+        [0, 0],
+        "lost runs are still counted against the jobs"
+    );
 }
