--- a/tests/awaited_verdicts.rs
+++ b/tests/awaited_verdicts.rs
@@ -13,7 +13,7 @@
 
 /// The note on an awaited start was kept under the slot of its run, which the next run reused.
 #[test]
-fn the_answer_to_a_start_counts_although_another_start_has_been_lost_since() {
+fn the_answer_to_a_start_counts_though_another_start_has_been_lost_since() {
     // Arrange: workers are lost before they answer their starts. The task of the first job is
     // started again together with that of the second job, and its worker is lost again.
     let q = queue("q", 0);
--- a/tests/forgotten_starts.rs
+++ b/tests/forgotten_starts.rs
@@ -2,11 +2,12 @@
 //!
 //! Guards against a sixth start of a task that crashes its workers, where five are allowed.  In
 //! random runs whose owners were lost just after their starts (seed 700700 among them) one owner
-//! forgot its start.  The next one found that the worker's life had ended while it could not read
-//! the row of the task's job; it marked and recorded the jobs that it had read, and removed the
-//! life from the roster.  The third one read the row, found no trace of the life and started the
-//! task once more without recording that first.  Each test covers one way in which what an owner
-//! has found out can be lost with it (docs/incidents/crashing-tasks.md).
+//! forgot its start.  The next one found that the worker's life had ended, so starts may have been
+//! forgotten there: it marked the jobs that it had read as ones whose starts are recorded before
+//! they are sent, recorded these marks, and removed the life from the roster.  It could not read
+//! the row of the culprit's job.  The third owner read that row, found no trace of the life and
+//! started the task once more without recording that first.  Each test covers one way in which
+//! what an owner has found out can be lost with it (docs/incidents/crashing-tasks.md).
 
 mod cell_core;
 
@@ -118,7 +119,7 @@
         for key in self.cell.worker_keys() {
             let order = self.cell.poll_order(key, self.now);
             let Some(order) = order else {
-                // Its life has ended by the answer of another one.
+                // The answer of another life has removed this worker.
                 continue;
             };
             let life = &order.to.life;
@@ -255,7 +256,7 @@
         born: Some(BORN + 5_000),
     };
 
-    // Act: of seven marks one is recorded.
+    // Act: only one of the marks of the seven jobs is recorded.
     site.take_over(&OTHERS.chain([CULPRIT]).collect::<Vec<_>>());
     site.restart(&crashed, next);
     site.poll_all();
@@ -275,7 +276,7 @@
     site.take_over(&OTHERS.chain([CULPRIT]).collect::<Vec<_>>());
     site.cell.unlist_worker(&crashed, site.now);
 
-    // Act: of seven marks one is recorded.
+    // Act: only one of the marks of the seven jobs is recorded.
     for _ in 0..20 {
         site.now += tuning::LEASE / 10;
         site.poll_all();
--- a/tests/presumed_over.rs
+++ b/tests/presumed_over.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_stale_entry_does_not_free_a_successor_from_waiting_for_the_present_life() {
+fn a_stale_entry_does_not_free_a_successor_from_asking_the_present_life() {
     for stale in ["w0", "w9"] {
         // Arrange.
         let q = queue("q", 0);
--- a/tests/worker_lives.rs
+++ b/tests/worker_lives.rs
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn two_workers_with_one_id_get_no_work_until_one_is_gone() {
+fn two_workers_of_one_id_get_no_work_until_one_is_gone() {
     // Arrange: two processes answer under one id in turn, the one that started earlier also after
     // the later one has replaced it, so neither can be the only life.
     let mut site = site_with_history(2);
