--- a/tests/parked_workers.rs
+++ b/tests/parked_workers.rs
@@ -1,7 +1,8 @@
-//! Idle workers are parked: what an owner does follows the work that there is.
+//! Idle workers are parked, so that the load of an owner depends on the work there is and not on
+//! the number of workers.
 //!
-//! The pattern: 6,000 workers of which a tenth is busy, and an owner that looked at all of them had no
-//! processor left for those that worked.
+//! Guards against an overloaded owner: with 6,000 workers of which a tenth is busy, an owner that
+//! polled all of them had no processor time left for the busy ones.
 
 mod cell_core;
 
@@ -19,12 +20,12 @@
 use yare::parameterized;
 
 const FLEET: u16 = 6_000;
-/// What only some workers have.
+/// A label that only some workers have.
 const LABEL: &str = "rare";
-/// Longer than a woken worker stays awake, and than any lease.
-const LONG: u64 = 11_000;
+/// Longer than an unparked worker stays awake, and than any lease, in milliseconds.
+const AFTER_LEASES: u64 = 11_000;
 
-/// A cell of which no worker has answered yet.
+/// Returns a cell of which no worker has answered yet.
 fn cell(workers: impl Iterator<Item = WorkerEntry>, roster: Vec<RosterEntry>) -> Cell {
     let queues = [queue("q", 0), advised_queue("advised", 0)];
     let mut cell = Cell::new(1, configuration(&queues), 1_000);
@@ -34,26 +35,28 @@
     cell
 }
 
+/// Returns an owner of this many workers; those that are awake have answered.
 fn fleet(workers: u16) -> Bench {
     awake_bench(cell((0..workers).map(worker), Vec::new()))
 }
 
-/// The workers that are awake have answered and are in the recorded roster.
+/// Returns an owner whose awake workers have answered and are in the recorded roster.
 fn awake_bench(cell: Cell) -> Bench {
     let mut bench = Bench::with(cell, 1_000);
     bench.cell.take_unparked();
-    turn(&mut bench);
-    turn(&mut bench);
+    pass_parking_interval(&mut bench);
+    pass_parking_interval(&mut bench);
     bench
 }
 
+/// Returns the workers that are awake, that is, not parked.
 fn awake(cell: &Cell) -> Vec<WorkerKey> {
     let keys = cell.worker_keys().into_iter();
     keys.filter(|&key| !cell.is_parked(key)).collect()
 }
 
-/// The owner looks at all workers that are awake, records the roster, and time passes.
-fn turn(bench: &mut Bench) {
+/// Polls the awake workers, lets a parking interval pass, polls them again and records the roster.
+fn pass_parking_interval(bench: &mut Bench) {
     bench.now += 10;
     for key in awake(&bench.cell) {
         bench.poll(key);
@@ -65,7 +68,8 @@
     bench.pass(0);
 }
 
-/// Decides in turns until nothing more starts, and returns all starts.
+/// Runs scheduling rounds, a parking interval apart, until three in a row start nothing.  Returns
+/// all starts.
 fn start_all(bench: &mut Bench) -> Vec<StartOrder> {
     let mut started = Vec::new();
     let mut idle = 0;
@@ -73,7 +77,7 @@
         let more = bench.start_all();
         idle = if more.is_empty() { idle + 1 } else { 0 };
         started.extend(more);
-        turn(bench);
+        pass_parking_interval(bench);
     }
     started
 }
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn a_successor_need_not_hear_of_workers_that_were_parked() {
+fn a_successor_does_not_wait_for_workers_that_were_parked() {
     let bench = fleet(FLEET);
     let (_, roster) = bench.cell.roster();
 
@@ -102,7 +106,7 @@
 }
 
 #[test]
-fn nobody_is_parked_unheard_if_the_roster_could_not_be_read_whole() {
+fn no_worker_is_parked_before_it_has_answered_if_the_roster_is_incomplete() {
     let queues = [queue("q", 0)];
     let mut cell = Cell::new(1, configuration(&queues), 1_000);
     cell.mark_roster_incomplete();
@@ -113,8 +117,8 @@
 }
 
 #[test]
-fn work_that_grows_wakes_as_many_as_it_takes() {
-    // Arrange: room for 600 such tasks is awake.
+fn growing_work_wakes_as_many_workers_as_it_needs() {
+    // Arrange: the awake workers have room for 600 such tasks.
     let mut bench = fleet(FLEET);
     for id in 1..=40 {
         bench.accept(&job(id, &queue("q", 0), vec![step(50, 16_000)]));
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn workers_that_become_idle_are_parked_once_their_ends_are_recorded_and_forgotten() {
+fn idle_workers_are_parked_once_their_ends_are_recorded_and_forgotten() {
     // Arrange
     let mut bench = fleet(FLEET);
     for id in 1..=40 {
@@ -146,18 +150,18 @@
         bench.end(start.task, start.number, EndKind::Done);
     }
     for _ in 0..3 {
-        turn(&mut bench);
+        pass_parking_interval(&mut bench);
     }
-    bench.pass(LONG);
-    turn(&mut bench);
+    bench.pass(AFTER_LEASES);
+    pass_parking_interval(&mut bench);
     let unrecorded = awake(&bench.cell).len();
     while !bench.record().rows.is_empty() {}
     for _ in 0..3 {
-        turn(&mut bench);
+        pass_parking_interval(&mut bench);
     }
-    bench.pass(LONG);
-    turn(&mut bench);
-    turn(&mut bench);
+    bench.pass(AFTER_LEASES);
+    pass_parking_interval(&mut bench);
+    pass_parking_interval(&mut bench);
 
     // Assert
     assert!(unrecorded >= started.len(), "{unrecorded}");
@@ -169,7 +173,7 @@
     much_memory = { Step { demand: crossweir::cell::spec::Demand { millicores: 1_000, memory: 100_000, gpus: 0 }, ..step(3, 1_000) }, 3 },
     a_gang = { Step { gang: true, label: Some(LABEL.to_owned()), ..step(6, 16_000) }, 6 },
 )]
-fn what_only_parked_workers_have_wakes_them(wanted: Step, tasks: usize) {
+fn a_step_that_only_parked_workers_can_run_wakes_them(wanted: Step, tasks: usize) {
     // Arrange: eight workers with a label and more memory, all parked.
     let ordinary = fleet(FLEET);
     let parked: Vec<usize> = (0..usize::from(FLEET))
@@ -192,7 +196,7 @@
     let reason = bench
         .cell
         .view(JobId(1), bench.now)
-        .expect("it is known")
+        .expect("a known job")
         .steps[0]
         .waits_for;
     let started = start_all(&mut bench);
@@ -204,7 +208,7 @@
 }
 
 #[test]
-fn a_job_wakes_the_rack_on_which_its_data_lies() {
+fn a_job_wakes_the_rack_that_holds_its_data() {
     let mut bench = fleet(FLEET);
     let number = (0..).find(|&number| bench.cell.is_parked(bench.worker(number)));
     let rack = worker(number.expect("a parked one") as u16).rack;
@@ -214,7 +218,7 @@
     };
 
     bench.accept(&job(1, &queue("q", 0), vec![near]));
-    turn(&mut bench);
+    pass_parking_interval(&mut bench);
 
     let numbers = (0..FLEET).filter(|&number| worker(number).rack == rack);
     let parked = numbers.filter(|&number| bench.cell.is_parked(bench.worker(usize::from(number))));
@@ -241,13 +245,13 @@
 }
 
 #[test]
-fn a_question_for_advice_wakes_workers_if_too_few_are_awake() {
-    // Arrange: a step of which each task takes a worker, and more than are awake.
+fn an_advice_question_wakes_workers_if_too_few_are_awake() {
+    // Arrange: a step of more tasks than workers are awake, each of which takes a whole worker.
     let mut bench = fleet(FLEET);
     bench.cell.set_idle_reserve(8);
     for _ in 0..2 {
-        bench.pass(LONG);
-        turn(&mut bench);
+        bench.pass(AFTER_LEASES);
+        pass_parking_interval(&mut bench);
     }
     let before = awake(&bench.cell).len();
 
@@ -269,27 +273,28 @@
     );
 }
 
-/// The load: hundreds of steps wait in a full cell of which some parked workers are left.
+/// Guards against waking workers in every scheduling round when hundreds of steps wait in a full
+/// cell that still has some parked workers.
 #[test]
-fn a_step_that_waits_wakes_workers_some_times_a_second_and_not_in_each_round() {
+fn a_waiting_step_wakes_workers_some_times_a_second_and_not_in_every_round() {
     // Arrange
     let mut bench = fleet(FLEET);
     bench.cell.set_idle_reserve(8);
     for _ in 0..2 {
-        bench.pass(LONG);
-        turn(&mut bench);
+        bench.pass(AFTER_LEASES);
+        pass_parking_interval(&mut bench);
     }
     bench.accept(&job(1, &queue("q", 0), vec![step(100, 16_000)]));
-    let counts = |bench: &mut Bench| {
+    let count_woken = |bench: &mut Bench| {
         bench.decide();
         bench.cell.take_unparked().len()
     };
 
     // Act
-    let first = counts(&mut bench);
-    let next = counts(&mut bench);
+    let first = count_woken(&mut bench);
+    let next = count_woken(&mut bench);
     bench.now += tuning::WAKE_INTERVAL;
-    let later = counts(&mut bench);
+    let later = count_woken(&mut bench);
 
     // Assert
     assert_eq!((first, next), (92, 0));
@@ -306,18 +311,18 @@
         bench.cell.list_workers(others.collect(), bench.now);
     } },
 )]
-fn a_parked_worker_of_which_something_is_told_is_looked_at(tell: fn(&mut Bench, WorkerEntry)) {
-    let born = |number: u16| {
+fn a_parked_worker_is_unparked_when_its_entry_changes(change: fn(&mut Bench, WorkerEntry)) {
+    let entry_with_birth = |number: u16| {
         let mut entry = worker(number);
         entry.life.born = Some(7);
         entry
     };
-    let mut bench = awake_bench(cell((0..FLEET).map(born), Vec::new()));
+    let mut bench = awake_bench(cell((0..FLEET).map(entry_with_birth), Vec::new()));
     let number = (0..).find(|&number| bench.cell.is_parked(bench.worker(number)));
     let number = number.expect("a parked one");
     let key = bench.worker(number);
 
-    tell(&mut bench, born(number as u16));
+    change(&mut bench, entry_with_birth(number as u16));
 
     assert!(!bench.cell.is_parked(key));
     assert!(bench.cell.take_unparked().contains(&key));
