--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where tasks go, and what waiting steps do until there is room.
+//! Where tasks are placed, and how waiting steps reserve room and ask for advice.
 
 mod cell_core;
 
@@ -7,7 +7,7 @@
 use crossweir::cell::spec::Step;
 use crossweir::queue::Queue;
 
-/// A step of one task that takes a whole worker.
+/// Returns a step of one task that takes a whole worker.
 fn wide_step() -> Step {
     step(1, 16_000)
 }
@@ -20,13 +20,15 @@
     started
 }
 
-/// Answers a question: every worker that it names is good.
-fn all_good(bench: &mut Bench, order: &AdviceOrder) {
-    let good = order
+/// Answers an advice question: every worker that it names is approved.
+fn approve_all(bench: &mut Bench, order: &AdviceOrder) {
+    let approved = order
         .workers
         .iter()
         .map(|(_, id)| (id.clone(), format!("ticket of {id}")));
-    bench.cell.advised(order, Some(good.collect()), bench.now);
+    bench
+        .cell
+        .advised(order, Some(approved.collect()), bench.now);
 }
 
 #[test]
@@ -44,7 +46,7 @@
 }
 
 #[test]
-fn a_ticket_that_ran_out_is_renewed_before_the_room_comes_free() {
+fn an_expired_ticket_is_renewed_shortly_before_room_comes_free() {
     let plain = queue("plain", 0);
     let advised = advised_queue("advised", 1);
     let mut bench = Bench::new(1, &[plain.clone(), advised.clone()]);
@@ -59,12 +61,12 @@
     let running = bench.start_all();
     bench.accept(&job(2, &advised, vec![wide_step()]));
     let first = questions(&bench.decide());
-    all_good(&mut bench, &first[0]);
+    approve_all(&mut bench, &first[0]);
     bench.pass(3_000);
     bench.poll_all();
     assert!(
         questions(&bench.decide()).is_empty(),
-        "the room is far from free"
+        "the room does not come free soon"
     );
 
     bench.end(running[0].task, running[0].number, EndKind::Done);
@@ -72,15 +74,15 @@
     bench.pass(20);
     bench.poll_all();
     let again = questions(&bench.decide());
-    all_good(&mut bench, &again[0]);
+    approve_all(&mut bench, &again[0]);
     let started = starts(&bench.decide());
 
     assert_eq!(started.len(), 1);
     assert!(started[0].ticket.is_some());
 }
 
-/// Two workers, each half full: one until 2 s from now and the other until 8 s.
-fn half_full(bench: &mut Bench, q: &Queue) {
+/// Fills half of each of two workers: one for the next 2 s, the other for the next 8 s.
+fn fill_halves(bench: &mut Bench, q: &Queue) {
     for (id, estimate) in [(1, 2_000), (2, 8_000)] {
         let half = Step {
             estimate,
@@ -91,6 +93,7 @@
     }
 }
 
+/// Returns a step of one task that takes a quarter of a worker.
 fn small_step(estimate: u64) -> Step {
     Step {
         estimate,
@@ -99,11 +102,11 @@
 }
 
 #[test]
-fn room_that_comes_free_first_is_kept_for_a_wide_task() {
+fn the_room_that_comes_free_first_is_reserved_for_a_wide_task() {
     let (urgent, later) = (queue("urgent", 1), queue("later", 2));
     let mut bench = Bench::new(2, &[urgent.clone(), later.clone()]);
-    half_full(&mut bench, &later);
-    let kept = bench.worker(0);
+    fill_halves(&mut bench, &later);
+    let reserved = bench.worker(0);
     bench.accept(&job(3, &urgent, vec![wide_step()]));
     bench.accept(&job(
         4,
@@ -117,11 +120,11 @@
     let started = bench.start_all();
 
     assert_eq!(started.len(), 1, "the other worker has room for one of two");
-    assert_ne!(started[0].to.worker, kept);
+    assert_ne!(started[0].to.worker, reserved);
 }
 
 #[test]
-fn a_task_that_ends_in_time_may_use_room_that_is_kept() {
+fn a_task_that_ends_in_time_may_use_reserved_room() {
     let (urgent, later) = (queue("urgent", 1), queue("later", 2));
     let mut bench = Bench::new(1, &[urgent.clone(), later.clone()]);
     bench.accept(&job(
@@ -144,10 +147,10 @@
 }
 
 #[test]
-fn a_gang_keeps_room_only_until_its_last_member_has_some() {
+fn a_task_that_ends_before_a_gang_can_start_may_use_its_reserved_room() {
     let (urgent, later) = (queue("urgent", 1), queue("later", 2));
     let mut bench = Bench::new(2, &[urgent.clone(), later.clone()]);
-    half_full(&mut bench, &later);
+    fill_halves(&mut bench, &later);
     let gang = Step {
         gang: true,
         ..step(2, 16_000)
@@ -167,15 +170,15 @@
     assert_eq!(started.len(), 2, "both end before the gang can start");
 }
 
-/// Steps for which workers to ask about were looked for while deciding once.
-fn advice_looks(bench: &mut Bench) -> u64 {
+/// Returns for how many steps one scheduling round searched workers to ask about.
+fn count_advice_searches(bench: &mut Bench) -> u64 {
     let before = bench.cell.counts().advice_looks;
     bench.decide();
     bench.cell.counts().advice_looks - before
 }
 
 #[test]
-fn a_backlog_of_steps_costs_a_bounded_number_of_looks_for_workers() {
+fn a_backlog_of_steps_costs_a_bounded_number_of_searches_for_workers() {
     // Arrange: a hundred steps wait, no worker has room, and both lanes are busy at first.
     let plain = queue("plain", 0);
     let advised = advised_queue("advised", 1);
@@ -187,11 +190,11 @@
     let asked = questions(&bench.decide());
 
     // Act.
-    let without_a_lane = advice_looks(&mut bench);
+    let without_a_lane = count_advice_searches(&mut bench);
     for question in &asked {
-        all_good(&mut bench, question);
+        approve_all(&mut bench, question);
     }
-    let with_lanes = advice_looks(&mut bench);
+    let with_lanes = count_advice_searches(&mut bench);
 
     // Assert.
     assert_eq!(asked.len(), 2);
@@ -200,8 +203,8 @@
 }
 
 #[test]
-fn a_wide_step_looks_at_each_worker_once_and_once_more_for_each_start() {
-    // Arrange: with a look at every worker for each task, a step of 26 tasks among 1,100 workers
+fn a_step_of_many_tasks_examines_each_worker_once_and_once_more_per_start() {
+    // Arrange: when every worker was examined for each task, a step of 26 tasks among 1,100 workers
     // took a millisecond of the owner's time.
     let (workers, tasks) = (200, 26);
     let queue = queue("q", 0);
@@ -214,16 +217,16 @@
     let starts = starts(&bench.decide()).len() as u32;
 
     // Assert.
-    let looked_at = bench.cell.counts().places - before;
+    let examined = bench.cell.counts().places - before;
     assert_eq!(starts, tasks);
     assert!(
-        looked_at <= u64::from(u32::from(workers) + tasks),
-        "{looked_at}"
+        examined <= u64::from(u32::from(workers) + tasks),
+        "{examined}"
     );
 }
 
 #[test]
-fn a_start_that_waited_in_vain_for_our_own_calls_does_not_count_against_the_worker() {
+fn a_start_refused_for_lack_of_a_call_slot_does_not_count_against_the_worker() {
     // Arrange.
     let queue = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&queue));
@@ -236,6 +239,6 @@
     let (run, now) = (first[0].run, bench.now);
     bench.cell.start_answered(run, busy, None, now);
 
-    // Assert: it starts there at once.
+    // Assert: the task is started there at once.
     assert_eq!(starts(&bench.decide()).len(), 1);
 }
