--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -1,6 +1,6 @@
-//! Which workers questions about steps name in a large cell, and what it costs to choose them.
+//! Which workers advice questions name in a large cell, and what it costs to choose them.
 //!
-//! The pattern: a burst of urgent jobs, each with a step that needs the word of the advice service.
+//! The load is a burst of urgent jobs, each with a step that needs advice.
 
 mod cell_core;
 
@@ -10,10 +10,11 @@
 use crossweir::cell::order::AdviceOrder;
 
 const WORKERS: u16 = 1_100;
-/// How many steps ask in one round.
+/// How many steps ask in one scheduling round.
 const STEPS: u64 = 8;
 
-/// Steps of some tasks that are handed in at once, each with a lane of its own.
+/// Returns an owner of jobs that are submitted at once, each with one step of 13 tasks, and of as
+/// many lanes as jobs.
 fn burst() -> Bench {
     let queue = advised_queue("urgent", 0);
     let mut bench = Bench::new(WORKERS, std::slice::from_ref(&queue));
@@ -24,26 +25,29 @@
     bench
 }
 
+/// Returns all workers that the questions name.
 fn named(asked: &[AdviceOrder]) -> Vec<&str> {
     asked.iter().flat_map(question_workers).collect()
 }
 
-/// Each question cost a look at every worker of the cell, so a burst took most of the owner's rounds.
+/// Guards against questions that examine every worker of the cell: in a burst these took most of
+/// the time of the owner's scheduling rounds.
 #[test]
-fn a_question_looks_at_some_workers_of_a_large_cell_and_not_at_all() {
+fn a_question_examines_only_some_workers_of_a_large_cell() {
     let mut bench = burst();
     let before = bench.cell.counts().advice_workers;
 
     let asked = questions(&bench.decide());
 
-    let looked_at = bench.cell.counts().advice_workers - before;
+    let examined = bench.cell.counts().advice_workers - before;
     assert_eq!(asked.len() as u64, STEPS);
-    assert!(looked_at <= STEPS * 200, "{looked_at}");
+    assert!(examined <= STEPS * 200, "{examined}");
 }
 
-/// All named the roomiest workers, so that the first step took the room and the others had to ask again.
+/// Guards against questions that all name the workers with the most room: the first step took that
+/// room, and the others had to ask again.
 #[test]
-fn steps_that_ask_in_one_round_are_not_sent_to_the_same_workers() {
+fn steps_that_ask_in_one_round_do_not_all_name_the_same_workers() {
     let mut bench = burst();
 
     let asked = questions(&bench.decide());
@@ -58,20 +62,20 @@
     );
 }
 
-/// A worker that is known to be good is named again when its ticket has run out, wherever a look begins.
+/// An approved worker is named again when its ticket has expired, wherever the search begins.
 #[test]
-fn a_good_worker_without_a_ticket_is_named_first() {
+fn an_approved_worker_without_a_ticket_is_named_first() {
     let queue = advised_queue("urgent", 0);
     let mut bench = Bench::new(WORKERS, std::slice::from_ref(&queue));
     bench.accept(&job(1, &queue, vec![step(1, 4_000)]));
     let first = questions(&bench.decide());
-    let (_, good) = first[0].workers[0].clone();
-    let ticket = (good.clone(), String::from("ticket"));
+    let (_, approved) = first[0].workers[0].clone();
+    let ticket = (approved.clone(), String::from("ticket"));
     bench.cell.advised(&first[0], Some(vec![ticket]), bench.now);
 
     bench.pass(3_000);
     bench.poll_all();
     let again = questions(&bench.decide());
 
-    assert_eq!(question_workers(&again[0])[0], good);
+    assert_eq!(question_workers(&again[0])[0], approved);
 }
