--- a/tests/refused_starts.rs
+++ b/tests/refused_starts.rs
@@ -1,7 +1,7 @@
-//! A start that a worker does not understand is not sent again without a pause.
+//! A start that a worker does not recognise is sent again only after a pause.
 //!
-//! Why this pattern: it is the class of `crashing_tasks.rs`, something that is repeated without end because
-//! nobody counts it.  An owner decides each 10 ms here, as one does that has 100 starts a second.
+//! Guards, like `crashing_tasks.rs`, against something that is repeated endlessly because nothing
+//! counts it.  The owner runs a scheduling round every 10 ms here, as with 100 starts a second.
 
 mod cell_core;
 
@@ -9,7 +9,7 @@
 use crossweir::cell::order::{Refusal, StartOutcome};
 
 #[test]
-fn a_start_that_is_not_understood_is_sent_again_after_a_pause() {
+fn a_start_that_is_not_recognised_is_sent_again_after_a_pause() {
     // Arrange.
     let q = queue("q", 0);
     let mut bench = Bench::new(4, std::slice::from_ref(&q));
@@ -29,6 +29,6 @@
         }
     }
 
-    // Assert: once a second.
+    // Assert: it is sent about once a second.
     assert!((3..=6).contains(&sent), "{sent}");
 }
