--- a/tests/shrinking_rooms.rs
+++ b/tests/shrinking_rooms.rs
@@ -1,7 +1,7 @@
-//! The room of a worker may shrink and grow again while it runs.
+//! The capacity of a worker may shrink and grow again while tasks run on it.
 //!
-//! Why these figures: a worker of 16 cores runs 12 and shrinks to 8, so that it holds more than it has and the
-//! difference must never show as room.
+//! A worker of 16 cores uses 12 and shrinks to 8, so that its runs hold more than its capacity; the
+//! difference must never count as room.
 
 mod cell_core;
 
@@ -9,14 +9,15 @@
 use crossweir::cell::order::EndKind;
 use crossweir::cell::worker::WorkerEntry;
 
-/// The first worker with this room.
+/// Returns the entry of the first worker with a capacity of this many cores.
 fn with_cores(cores: u64) -> WorkerEntry {
     let mut entry = worker(0);
     entry.capacity.millicores = cores * 1_000;
     entry
 }
 
-/// The only worker runs twelve tasks of a core each; another twelve wait.
+/// Returns an owner whose only worker runs twelve tasks of one core each and has shrunk to 8 cores;
+/// another twelve tasks wait.
 fn busy_worker() -> Bench {
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
@@ -28,7 +29,7 @@
     bench
 }
 
-/// Ends so many runs well.
+/// Ends `count` runs successfully.
 fn end_some(bench: &mut Bench, count: usize) {
     let key = bench.worker(0);
     let runs: Vec<_> = bench.running[&key].iter().copied().take(count).collect();
@@ -55,8 +56,8 @@
 }
 
 #[test]
-fn room_that_is_being_stopped_still_counts() {
-    // Arrange: all that runs is cancelled and stopped, and no end is listed yet.
+fn runs_that_are_being_stopped_still_hold_their_room() {
+    // Arrange: all runs are cancelled and stops are ordered, but no end is listed yet.
     let mut bench = busy_worker();
     bench.cell.cancel(crossweir::cell::spec::JobId(7));
     bench.record();
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn room_that_grows_again_is_used() {
+fn capacity_that_grows_again_is_used() {
     // Arrange.
     let mut bench = busy_worker();
     let before = starts(&bench.decide()).len();
