--- a/tests/slow_tasks.rs
+++ b/tests/slow_tasks.rs
@@ -1,11 +1,12 @@
-//! A task that takes longer than others of its queue is not stopped as slow without end.
+//! A task that takes longer than others of its queue is not stopped as slow again and again.
 //!
-//! Seen: in a test of something else a task of 3 s in a queue of tasks of 0.8 s was stopped after 0.4 s,
-//! each time on another worker, and never got done.  How it came about: a run is judged by the queue's
-//! worst guess, the task started anew elsewhere was judged in the same way, and its worker was
-//! shunned for 4 s each time.  Cause: nothing counted that the task had been slow everywhere, the same class as
-//! in `crashing_tasks.rs`: what is repeated is counted by the worker that it is taken from.
-//! Proof: the log has `run is slow` for the same task once a second, on every worker in turn.
+//! Guards against a task that is stopped as slow on every worker and never completes: in a queue of
+//! tasks of 0.8 s, one of 3 s was stopped after 0.4 s, each time on another worker.  A run is
+//! judged by the queue's worst estimate error, a new run of the task elsewhere is judged in the
+//! same way, and each of its workers is shunned for 4 s.  As in `crashing_tasks.rs`, repetitions
+//! must be counted by task: counted by worker, they do not show that the task is slow everywhere.
+//! The fault shows in the log as `run is slow` for the same task once a second, on every worker in
+//! turn.
 
 mod cell_core;
 
@@ -14,11 +15,12 @@
 use cell_core::{Bench, job, queue, step, stops};
 use crossweir::cell::order::EndKind;
 
-/// The id of the long job.
-const LONG: u64 = 0xbad;
+/// The id of the job whose tasks are observed.
+const JOB: u64 = 0xbad;
 
-/// Lets the queue learn from 30 tasks that take what their callers guessed.
-fn learn(bench: &mut Bench) {
+/// Runs 30 tasks that take about as long as estimated, so that the owner learns that the estimates
+/// of the queue are good.
+fn learn_estimates(bench: &mut Bench) {
     let q = queue("q", 0);
     for id in 1..=30 {
         bench.accept(&job(id, &q, vec![step(1, 1_000)]));
@@ -35,10 +37,10 @@
     // Arrange.
     let q = queue("q", 0);
     let mut bench = Bench::new(6, std::slice::from_ref(&q));
-    learn(&mut bench);
-    bench.accept(&job(LONG, &q, vec![step(1, 1_000)]));
+    learn_estimates(&mut bench);
+    bench.accept(&job(JOB, &q, vec![step(1, 1_000)]));
 
-    // Act: wherever it runs it does a tenth of the work in the time that others take.
+    // Act: wherever it runs, it does a tenth of its work in the time that others take for all of it.
     let mut workers = BTreeSet::new();
     let mut stopped = 0;
     let (mut run, mut began) = (None, 0);
@@ -60,7 +62,7 @@
         }
     }
 
-    // Assert: one worker may be sick, and a second one; not three.
+    // Assert: two sick workers in a row are plausible, three are not.
     assert!(
         stopped <= 2,
         "{stopped} times, on {} workers",
@@ -68,13 +70,13 @@
     );
 }
 
-/// Runs a step of tasks on workers of their own, of which each does so many hundredths a second, and tells how
-/// many runs are stopped within 3 s.
-fn stopped_at(rates: &[u64]) -> usize {
+/// Runs a step whose tasks each have a worker of their own and progress at these rates, in
+/// hundredths of the work per second.  Returns how many runs are stopped within 3 s.
+fn stops_at_rates(rates: &[u64]) -> usize {
     let q = queue("q", 0);
     let mut bench = Bench::new(rates.len() as u16 + 2, std::slice::from_ref(&q));
-    learn(&mut bench);
-    bench.accept(&job(LONG, &q, vec![step(rates.len() as u32, 16_000)]));
+    learn_estimates(&mut bench);
+    bench.accept(&job(JOB, &q, vec![step(rates.len() as u32, 16_000)]));
     let starts = bench.start_all();
     let mut stopped = BTreeSet::new();
     for passed in 1..=30 {
@@ -91,19 +93,20 @@
     stopped.len()
 }
 
-/// On workers that are full for long, what is stopped goes to the end of a long line: of 40,000 runs a day 1,300
-/// were stopped as slow that were merely the longer ones of their steps.
+/// Guards against stopping runs as slow that are merely the longer ones of their steps, as happened
+/// to 1,300 of 40,000 runs a day.  While workers are full for long, a stopped task goes to the end
+/// of a long queue.
 #[test]
 fn the_longer_tasks_of_an_uneven_step_are_left_to_run() {
-    assert_eq!(stopped_at(&[55, 40, 33, 28, 24, 22, 20, 18, 16]), 0);
+    assert_eq!(stops_at_rates(&[55, 40, 33, 28, 24, 22, 20, 18, 16]), 0);
 }
 
 #[test]
 fn a_task_on_a_sick_worker_is_moved() {
-    assert_eq!(stopped_at(&[55, 40, 33, 28, 24, 22, 20, 18, 4]), 1);
+    assert_eq!(stops_at_rates(&[55, 40, 33, 28, 24, 22, 20, 18, 4]), 1);
 }
 
 #[test]
-fn a_task_that_stands_still_is_moved() {
-    assert_eq!(stopped_at(&[30, 30, 30, 0]), 1);
+fn a_task_without_progress_is_moved() {
+    assert_eq!(stops_at_rates(&[30, 30, 30, 0]), 1);
 }
