--- a/tests/told_lapses.rs
+++ b/tests/told_lapses.rs
@@ -1,8 +1,8 @@
-//! What a silent worker alone can tell of, when the cell is given up.
+//! Ends that only a silent worker can report, when the owner gives the cell up.
 //!
-//! The roster keeps a silent worker whose ends are taken in and not recorded: "until then only
-//! this worker can tell a successor of them".  What is told of its lapse must not let the
-//! successor go on without it.
+//! The roster keeps a silent worker whose ends have been accepted and not recorded, since until
+//! then only this worker can report them to a successor.  The remaining lease that the owner passes
+//! on must not let the successor go on without that worker.
 
 mod cell_core;
 
@@ -12,10 +12,10 @@
 use crossweir::embedded::store::MAX_ROW_BYTES;
 use crossweir::store::encode;
 
-/// How many starts the next owner orders at once of a task whose end the former owner noted
-/// `silence` ms before it gave the cell up, and could not record.
+/// Returns how many starts of a task the next owner orders at once, if the former owner accepted
+/// the task's end `silence` ms before it gave the cell up, and could not record it.
 fn started_again_after(silence: u64) -> usize {
-    // Arrange: a task ends well on the only worker, and the end is heard of, not recorded.
+    // Arrange: a task ends well on the only worker, and the end is accepted but not recorded.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     let row = job(1, &q, vec![step(1, 16_000), step(1, 1_000)]);
@@ -33,15 +33,19 @@
         .poll_failed(key, PollFailure::Unanswered, bench.now);
     bench.pass(silence);
     let (_, roster) = bench.cell.roster();
-    assert_eq!(roster.len(), 1, "a successor is to hear of the end from it");
+    assert_eq!(
+        roster.len(),
+        1,
+        "a successor has to learn of the end from it"
+    );
 
-    // Act: the cell is given up while the record of the job is still outstanding.
-    let lapses = bench.cell.seal_silent(bench.now);
+    // Act: the cell is given up before the end is recorded.
+    let leases = bench.cell.seal_silent(bench.now);
     let mut next = Cell::new(2, configuration(std::slice::from_ref(&q)), bench.now);
     next.set_lanes(&[true, true]);
     next.restore_roster(roster, bench.now);
     next.list_workers(vec![worker(0), worker(1)], bench.now);
-    next.apply_remaining_leases(&lapses, bench.now);
+    next.apply_remaining_leases(&leases, bench.now);
     next.accept(&row, None, true, bench.now);
     let mut next = Bench::with(next, bench.now);
     next.now += 10;
@@ -62,18 +66,18 @@
 }
 
 #[test]
-fn a_lease_that_goes_on_keeps_a_task_with_a_noted_end_from_starting() {
+fn a_task_with_an_unrecorded_end_does_not_start_during_the_lease() {
     assert_eq!(started_again_after(1_000), 0);
 }
 
 #[test]
-fn an_end_that_was_noted_before_the_lease_was_over_is_not_forgotten_with_it() {
+fn a_task_with_an_unrecorded_end_does_not_start_after_the_lease_either() {
     assert_eq!(started_again_after(5_000), 0, "it has ended well");
 }
 
 #[test]
 fn a_silent_worker_that_is_not_listed_stays_in_the_roster_until_its_ends_are_recorded() {
-    // Arrange: a task ends well, and the end is heard of, not recorded.
+    // Arrange: a task ends well, and the end is accepted but not recorded.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     bench.accept(&job(1, &q, vec![step(2, 16_000)]));
@@ -84,7 +88,7 @@
     bench.poll_with_lists(key, Vec::new(), vec![done]);
     bench.pass(10);
 
-    // Act: the store is away, so its entry lapses, and it falls silent to this owner.
+    // Act: the store is unavailable, so the worker's entry expires, and it falls silent.
     bench.cell.unlist_worker(&worker(0).life.id, bench.now);
     bench
         .cell
@@ -92,18 +96,21 @@
     bench.pass(3_000);
     let during_the_lease = bench.cell.roster().1.len();
     bench.pass(2_000);
-    let after_it = bench.cell.roster().1.len();
+    let after_the_lease = bench.cell.roster().1.len();
     bench.record();
     bench.pass(10);
     let once_recorded = bench.cell.roster().1.len();
 
     // Assert.
-    assert_eq!((during_the_lease, after_it, once_recorded), (1, 1, 0));
+    assert_eq!(
+        (during_the_lease, after_the_lease, once_recorded),
+        (1, 1, 0)
+    );
 }
 
-/// The load: an owner that is cut off from all workers gives up a cell of 6,000.
+/// An owner that is cut off from all of its 6,000 workers gives the cell up.
 #[test]
-fn what_is_told_of_silent_workers_fits_into_a_row_however_many_they_are() {
+fn the_remaining_leases_of_any_number_of_silent_workers_fit_into_a_row() {
     let q = queue("q", 0);
     let mut bench = Bench::new(6_000, std::slice::from_ref(&q));
     for key in bench.cell.worker_keys() {
@@ -112,8 +119,8 @@
             .poll_failed(key, PollFailure::Unanswered, bench.now);
     }
 
-    let lapses = bench.cell.seal_silent(bench.now);
+    let leases = bench.cell.seal_silent(bench.now);
 
-    assert!(encode(&lapses).len() < MAX_ROW_BYTES);
-    assert!(!lapses.within.is_empty());
+    assert!(encode(&leases).len() < MAX_ROW_BYTES);
+    assert!(!leases.within.is_empty());
 }
