--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -1,7 +1,7 @@
-//! Who goes first while a cell is full for a long time.
+//! In which order the jobs of one queue are served while a cell is full for a long time.
 //!
-//! The pattern: reports of very unlike sizes keep coming in one queue, each of some tasks that take half
-//! a worker or more, and all of them together want more than there is.
+//! The load is a queue of reports of very different sizes, each of some tasks that take half a
+//! worker or more, which together want more than there is.
 
 mod cell_core;
 
@@ -16,10 +16,10 @@
 use crossweir::policy::{BuiltIn, Decision, Policy, Turn};
 use crossweir::queue::Queue;
 
-/// The built-in policy with one of the orders.
-struct Turned(Turn);
+/// The built-in policy with a fixed order of jobs.
+struct FixedTurn(Turn);
 
-impl Policy for Turned {
+impl Policy for FixedTurn {
     fn decide(&self, queue: &Queue, spec: &JobSpec) -> Decision {
         Decision {
             turn: self.0,
@@ -28,6 +28,7 @@
     }
 }
 
+/// Returns the queue of the reports.
 fn reports() -> Queue {
     Queue {
         stretch: 2.0,
@@ -36,17 +37,17 @@
     }
 }
 
-/// One worker on which nothing else has room while its only task runs.
+/// Returns an owner whose only worker is filled by a running report.
 fn full_worker(turn: Turn) -> Bench {
     let q = reports();
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
-    bench.cell.set_policy(Arc::new(Turned(turn)));
+    bench.cell.set_policy(Arc::new(FixedTurn(turn)));
     bench.accept(&report(1, 1, 500));
     assert_eq!(bench.start_all().len(), 1);
     bench
 }
 
-/// A report whose tasks each take a whole worker.
+/// Returns a report whose tasks each take a whole worker.
 fn report(id: u64, tasks: u32, estimate: Millis) -> JobRow {
     let whole = Step {
         estimate,
@@ -55,7 +56,7 @@
     job(id, &reports(), vec![whole])
 }
 
-/// Ends what runs, and tells which job's task starts next.
+/// Ends the running task, and returns the job whose task starts next.
 fn next(bench: &mut Bench) -> Option<JobId> {
     let (task, number) = bench.running.values().flatten().next().copied()?;
     bench.end(task, number, EndKind::Done);
@@ -70,8 +71,8 @@
     least_laxity = { Turn::LeastLaxity, [2, 4, 3] },
     balanced = { Turn::Balanced, [4, 3, 2] },
 )]
-fn waiting_reports_take_their_turns(turn: Turn, wanted: [u64; 3]) {
-    // Arrange: a wide one came first, then one whose task is long, then a short one.
+fn waiting_reports_start_in_the_order_of_the_policy(turn: Turn, wanted: [u64; 3]) {
+    // Arrange: one with 40 tasks comes first, then one whose only task is long, then a short one.
     let mut bench = full_worker(turn);
     bench.accept(&report(2, 40, 1_000));
     bench.now += 400;
@@ -79,7 +80,7 @@
     bench.now += 400;
     bench.accept(&report(4, 1, 300));
 
-    // Act: the wide one goes on for as long as nothing else is before it.
+    // Act: the tasks of the first start one after another as long as no other job precedes it.
     let mut turns = Vec::new();
     while let Some(id) = next(&mut bench) {
         if turns.last() != Some(&id.0) {
@@ -92,11 +93,11 @@
 }
 
 #[test]
-fn a_large_report_is_not_held_back_for_ever() {
-    // Arrange: two small reports come for each that the worker can carry, without an end.
+fn a_large_report_is_not_delayed_forever() {
+    // Arrange: small reports keep coming at twice the rate that the worker can serve.
     let mut bench = full_worker(Turn::Balanced);
     bench.accept(&report(2, 100, 10_000));
-    let came = bench.now;
+    let submitted = bench.now;
     let mut arrivals = BTreeMap::new();
     let mut latest = 0;
 
@@ -111,22 +112,23 @@
         match next(&mut bench) {
             Some(JobId(2)) => break,
             Some(small) => latest = latest.max(arrivals[&small]),
-            None => panic!("the worker stands idle"),
+            None => panic!("the worker is idle"),
         }
     }
 
-    // Assert: what goes before it came within a minute and its own time in hand.
-    let waiting = bench.cell.view(JobId(2), bench.now).expect("it is known");
+    // Assert: small reports precede it only if they came within a minute, the largest penalty for
+    // its work, plus its own laxity.
+    let waiting = bench.cell.view(JobId(2), bench.now).expect("a known job");
     assert_eq!(waiting.steps[0].running, 1);
-    assert!((20_000..75_000).contains(&(latest - came)), "{latest}");
+    assert!((20_000..75_000).contains(&(latest - submitted)), "{latest}");
 }
 
 #[yare::parameterized(
-    no_guess = { 0 },
+    no_estimate = { 0 },
     far_too_small = { 1 },
     huge = { Millis::MAX / 4 },
 )]
-fn a_guess_that_is_far_off_stops_nobody(estimate: Millis) {
+fn a_wrong_estimate_keeps_no_job_from_being_served(estimate: Millis) {
     for turn in Turn::ALL {
         let mut bench = full_worker(turn);
         bench.accept(&report(2, 2, estimate));
@@ -141,9 +143,9 @@
 }
 
 #[test]
-fn a_scheduled_time_counts_from_when_it_is_due() {
-    // Arrange: a job that was handed in long ago, and whose time has just come, has no more right than one that
-    // has just been handed in.
+fn a_scheduled_job_waits_from_when_it_is_due() {
+    // Arrange: a scheduled job that was submitted long ago and has just come due has no precedence
+    // over one that has just been submitted.
     let mut bench = full_worker(Turn::LeastLaxity);
     bench.cell.set_wall_clock(1_000_000);
     let mut timed = report(2, 1, 1_000);
