--- a/tests/unread_jobs.rs
+++ b/tests/unread_jobs.rs
@@ -1,23 +1,22 @@
-//! Tasks that had ended were started again while some jobs could not be read.
+//! Tasks that have ended are not started again while some jobs cannot be read.
 //!
-//! Seen: all nodes stopped at once while some partitions of the store were away.  Tasks whose
-//! runs had ended well were started again half a second after the next owner had claimed
-//! the cell, and the second runs were stopped when the partitions were back.
+//! Guards against double starts after all nodes stopped at once while some partitions of the store
+//! were unavailable: half a second after the next owner's claim, tasks whose runs had ended well
+//! were started again, and these runs were stopped once the partitions were back.
 //!
-//! How it came about: the owner could not read some jobs.  A worker listed the end of a run
-//! of such a job, and behind it ends of jobs that the owner did know.  To keep the first from
-//! being forgotten the owner took in none of them.  The others' runs were not listed as running
-//! any more, so it took their tasks for not running and started them again.
+//! How it comes about: the owner cannot read some jobs.  A worker lists the end of a run of such a
+//! job, and behind it ends of known jobs.  If the owner accepts none of them, so that the worker
+//! does not forget the first, it finds the runs of the others no longer listed as running and
+//! starts their tasks again.  Whether an end may be forgotten by its worker and whether it is known
+//! to the owner are two separate things.
 //!
-//! Elsewhere the same: a worker left the roster, or was listed with the jobs of its runs alone,
-//! while ends that it listed were not recorded; the next successor did not wait for it.
+//! Two related faults: a worker was removed from the roster, or was recorded with only the jobs of
+//! its runs, while ends that it listed were not recorded, so the next successor did not wait for
+//! it.  And a job that was submitted again before its first row was read was taken for new, though
+//! its tasks might be running.
 //!
-//! Cause: "this end must not be forgotten yet" and "this end is not known yet" were one thing.  The
-//! same held for a job that was handed in again before its first row was read: it was taken for
-//! new, though its tasks might run.
-//!
-//! Proof: the tests below, and days of our own on which all nodes lose power while four
-//! in ten partitions are away; docs/incidents/ has the figures.
+//! docs/incidents/ has figures of runs in which all nodes lose power while four in ten partitions
+//! are unavailable.
 
 mod cell_core;
 
@@ -27,18 +26,18 @@
 use crossweir::cell::roster::RosterEntry;
 use crossweir::cell::tuning;
 
-/// A good end that a worker lists.
-fn done(place: u64, task: &str, number: u64) -> EndEntry {
-    listed_end(place, task, number, EndKind::Done)
+/// Returns a list entry of a run that ended well.
+fn done(end_number: u64, task: &str, number: u64) -> EndEntry {
+    listed_end(end_number, task, number, EndKind::Done)
 }
 
-/// The first worker lists this.
-fn look(bench: &mut Bench, running: Vec<RunningEntry>, ended: Vec<EndEntry>) {
+/// Polls the first worker, which lists these runs and ends.
+fn poll_first(bench: &mut Bench, running: Vec<RunningEntry>, ended: Vec<EndEntry>) {
     let worker = bench.worker(0);
     bench.poll_with_lists(worker, running, ended);
 }
 
-/// An owner that knows job 7 and could not read others, with two workers.
+/// Returns an owner with two workers that knows job 7 and could not read other jobs.
 fn owner_with_unread_jobs() -> Bench {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
@@ -52,12 +51,12 @@
 const UNREAD: &str = "0000000000000008.0.0.0";
 
 #[test]
-fn an_end_behind_one_that_waits_for_its_job_counts() {
+fn an_end_listed_behind_one_of_an_unread_job_counts() {
     // Arrange.
     let mut bench = owner_with_unread_jobs();
 
-    // Act: the worker has ended a task of a job that is not read, then one that is known.
-    look(
+    // Act: the worker has ended a task of an unread job, then one of a known job.
+    poll_first(
         &mut bench,
         Vec::new(),
         vec![done(1, UNREAD, 5), done(2, KNOWN, 6)],
@@ -69,10 +68,10 @@
 }
 
 #[test]
-fn a_run_that_ends_behind_an_end_that_waits_is_not_started_again() {
-    // Arrange: the run is taken over while an end waits for its job.
+fn a_run_that_ends_behind_an_end_of_an_unread_job_is_not_started_again() {
+    // Arrange: the run is taken over while an end waits for its job to be read.
     let mut bench = owner_with_unread_jobs();
-    look(
+    poll_first(
         &mut bench,
         vec![listed_run(KNOWN, 6)],
         vec![done(1, UNREAD, 5)],
@@ -80,7 +79,7 @@
     assert_eq!(bench.cell.counts().adopted, 1);
 
     // Act: it ends.
-    look(
+    poll_first(
         &mut bench,
         Vec::new(),
         vec![done(1, UNREAD, 5), done(2, KNOWN, 6)],
@@ -96,20 +95,20 @@
 }
 
 #[test]
-fn a_job_that_is_handed_in_again_before_it_was_read_waits_for_its_runs() {
+fn a_job_submitted_again_before_it_was_read_waits_for_its_runs() {
     // Arrange: a worker runs a task of a job that could not be read.
     let mut bench = owner_with_unread_jobs();
-    look(
+    poll_first(
         &mut bench,
         vec![listed_run(KNOWN, 6), listed_run(UNREAD, 5)],
         Vec::new(),
     );
 
-    // Act: its caller hands it in again, and only then the worker is looked at.
+    // Act: its caller submits it again, and the worker is polled only afterwards.
     let row = job(8, &queue("q", 0), vec![step(1, 1_000)]);
     bench.accept(&row);
     let before = starts(&bench.decide());
-    look(
+    poll_first(
         &mut bench,
         vec![listed_run(KNOWN, 6), listed_run(UNREAD, 5)],
         Vec::new(),
@@ -124,7 +123,8 @@
     assert_eq!(task.step.job, row.id);
 }
 
-/// An owner with one worker on which job 7 has ended, which is not recorded.
+/// Returns an owner with two workers, on the first of which job 7 has ended; the end is not
+/// recorded.
 fn owner_with_an_unrecorded_end() -> Bench {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
@@ -135,8 +135,8 @@
     bench
 }
 
-/// The roster's entry of the first worker.
-fn entry(bench: &Bench) -> Option<RosterEntry> {
+/// Returns the roster entry of the first worker.
+fn roster_entry(bench: &Bench) -> Option<RosterEntry> {
     let (_, entries) = bench.cell.roster();
     entries
         .into_iter()
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_silent_worker_is_listed_with_named_jobs_only_when_its_ends_are_recorded() {
+fn a_silent_worker_is_recorded_with_named_jobs_only_when_its_ends_are_recorded() {
     // Arrange.
     let mut bench = owner_with_an_unrecorded_end();
     let worker = bench.worker(0);
@@ -154,10 +154,10 @@
         .cell
         .poll_failed(worker, PollFailure::Unanswered, bench.now);
     bench.pass(tuning::NAME_JOBS_AFTER + 10);
-    let before = entry(&bench);
+    let before = roster_entry(&bench);
     bench.record();
     bench.pass(10);
-    let after = entry(&bench);
+    let after = roster_entry(&bench);
 
     // Assert.
     assert_eq!(before.map(|entry| entry.jobs), Some(None), "any job");
@@ -174,26 +174,26 @@
     leaving.leaving = Some(2_000);
     bench.cell.list_worker(leaving, bench.now);
     bench.pass(10);
-    let before = entry(&bench);
+    let before = roster_entry(&bench);
     bench.record();
     bench.pass(10);
-    let after = entry(&bench);
+    let after = roster_entry(&bench);
 
     // Assert.
-    assert!(before.is_some(), "a successor must ask it");
+    assert!(before.is_some(), "a successor must poll it");
     assert_eq!(after, None);
 }
 
 #[test]
-fn a_run_may_have_ended_beyond_a_list_of_ends_that_is_full() {
+fn a_run_in_neither_list_is_not_started_again_while_the_list_of_ends_is_full() {
     // Arrange: a run goes on.
     let mut bench = owner_with_unread_jobs();
-    look(&mut bench, vec![listed_run(KNOWN, 6)], Vec::new());
+    poll_first(&mut bench, vec![listed_run(KNOWN, 6)], Vec::new());
 
-    // Act: it is in neither list, but there may be more ends than are listed.
-    let full = (1..=tuning::MAX_ENDS_LISTED as u64).map(|place| done(place, UNREAD, place));
+    // Act: the run is in neither list, but there may be more ends than are listed.
+    let full = (1..=tuning::MAX_ENDS_LISTED as u64).map(|number| done(number, UNREAD, number));
     let full: Vec<EndEntry> = full.collect();
-    look(&mut bench, Vec::new(), full);
+    poll_first(&mut bench, Vec::new(), full);
     let started = starts(&bench.decide());
 
     // Assert.
@@ -201,10 +201,10 @@
 }
 
 #[test]
-fn a_job_does_not_wait_for_a_worker_whose_lease_is_over() {
-    // Arrange: the only worker that lists work of a job falls silent before the job is read.
+fn a_job_does_not_wait_for_a_worker_whose_lease_has_ended() {
+    // Arrange: the only worker that lists an end of a job falls silent before the job is read.
     let mut bench = owner_with_unread_jobs();
-    look(&mut bench, Vec::new(), vec![done(1, UNREAD, 5)]);
+    poll_first(&mut bench, Vec::new(), vec![done(1, UNREAD, 5)]);
     let row = job(8, &queue("q", 0), vec![step(1, 1_000)]);
     bench.cell.accept(&row, None, true, bench.now);
     let silent = bench.worker(0);
@@ -215,16 +215,16 @@
     // Act.
     let other = bench.worker(1);
     bench.poll(other);
-    let of_job = |bench: &mut Bench| {
+    let starts_job = |bench: &mut Bench| {
         let orders = starts(&bench.decide());
         orders.iter().any(|order| order.task.step.job == row.id)
     };
-    let before = of_job(&mut bench);
+    let before = starts_job(&mut bench);
     bench.pass(2 * tuning::LEASE);
     bench.poll(other);
-    let after = of_job(&mut bench);
+    let after = starts_job(&mut bench);
 
     // Assert.
-    assert!(!before, "its end may come yet");
-    assert!(after, "what ran there is over");
+    assert!(!before, "its end may still be reported");
+    assert!(after, "no run can still go on there");
 }
