--- a/tests/evacuated_halls.rs
+++ b/tests/evacuated_halls.rs
@@ -1,8 +1,8 @@
 //! Halls that the operator evacuates: nothing starts there, what runs goes on, and room there is
-//! not counted on until the hall is taken back.
+//! not waited for until the evacuation ends.
 //!
-//! The pattern: half of the workers may not be used for some seconds while urgent jobs, gangs and
-//! steps that need advice go on coming.
+//! The load: half of the workers may not be used for some seconds while urgent jobs, gangs and
+//! steps that need advice keep coming.
 
 mod cell_core;
 
@@ -23,7 +23,7 @@
 const NORTH: &str = "north";
 const SOUTH: &str = "south";
 
-/// Workers stand in two halls by turns, the first one in the north.
+/// Returns the entry of a worker; even numbers are in the north hall, odd ones in the south.
 fn worker_in_its_hall(number: u16) -> WorkerEntry {
     let hall = if number.is_multiple_of(2) {
         NORTH
@@ -40,7 +40,7 @@
     Arc::new(names.iter().map(|&name| name.to_owned()).collect())
 }
 
-/// A cell whose workers stand in two halls.
+/// Returns an owner whose workers are in two halls by turns.
 fn bench(workers: u16) -> Bench {
     let queues = [queue("q", 0), advised_queue("advised", 0)];
     let mut cell = Cell::new(1, configuration(&queues), 1_000);
@@ -52,7 +52,7 @@
     bench
 }
 
-/// In which halls starts were ordered.
+/// Returns the halls in which starts were ordered.
 fn halls_of(started: &[StartOrder]) -> Halls {
     let hall = |start: &StartOrder| {
         let number = start.to.life.id[1..].parse().expect("a number");
@@ -61,13 +61,14 @@
     started.iter().map(hall).collect()
 }
 
+/// Returns why the only step of a job waits.
 fn waits_for(bench: &Bench, id: u64) -> Option<WaitReason> {
-    let view = bench.cell.view(JobId(id), bench.now).expect("it is known");
+    let view = bench.cell.view(JobId(id), bench.now).expect("a known job");
     view.steps[0].waits_for
 }
 
 #[test]
-fn tasks_start_only_where_no_hall_is_evacuated() {
+fn tasks_start_only_in_halls_that_are_not_evacuated() {
     // Arrange
     let mut bench = bench(4);
     bench.cell.set_evacuated_halls(&halls(&[NORTH]));
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn what_runs_goes_on() {
+fn runs_in_an_evacuated_hall_go_on() {
     let mut bench = bench(2);
     let lasting = Step {
         lasting: true,
@@ -100,8 +101,8 @@
 }
 
 #[test]
-fn what_ends_in_an_evacuated_hall_starts_elsewhere() {
-    // Arrange: a lasting task on the only worker of the north.
+fn a_task_that_fails_in_an_evacuated_hall_starts_again_elsewhere() {
+    // Arrange: a lasting task on the only worker of each hall.
     let mut bench = bench(2);
     let lasting = Step {
         lasting: true,
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn a_gang_waits_for_halls_that_are_in_use() {
+fn a_gang_waits_until_enough_halls_are_in_use() {
     let mut bench = bench(4);
     bench.cell.set_evacuated_halls(&halls(&[SOUTH]));
     let gang = Step {
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn nobody_is_asked_about_workers_of_an_evacuated_hall() {
+fn no_advice_is_asked_about_workers_of_an_evacuated_hall() {
     let mut bench = bench(6);
     bench.cell.set_evacuated_halls(&halls(&[NORTH]));
     bench.accept(&job(1, &advised_queue("advised", 0), vec![step(6, 4_000)]));
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn a_ticket_from_before_is_not_used() {
+fn a_ticket_from_before_the_evacuation_is_not_used() {
     // Arrange
     let mut bench = bench(2);
     bench.accept(&job(1, &advised_queue("advised", 0), vec![step(1, 4_000)]));
@@ -169,7 +170,8 @@
 
 #[test]
 fn room_in_an_evacuated_hall_is_not_waited_for() {
-    // Arrange: the north is free, and the south is full of what lasts.
+    // Arrange: the worker in the north is free; half of the one in the south is taken by a lasting
+    // task.
     let mut bench = bench(2);
     bench.cell.set_evacuated_halls(&halls(&[NORTH]));
     let lasting = Step {
@@ -194,9 +196,9 @@
     one_by_one = { &[&[NORTH], &[NORTH, SOUTH]] },
     at_once = { &[&[NORTH, SOUTH]] },
     twice = { &[&[NORTH, SOUTH], &[NORTH, SOUTH]] },
-    with_one_that_nobody_knows = { &[&[NORTH, SOUTH, "east"]] },
+    with_an_unknown_one = { &[&[NORTH, SOUTH, "east"]] },
 )]
-fn all_halls_may_be_evacuated_and_taken_back(orders: &[&[&str]]) {
+fn all_halls_may_be_evacuated_and_used_again(orders: &[&[&str]]) {
     // Arrange
     let mut bench = bench(4);
     bench.accept(&job(1, &queue("q", 0), vec![step(8, 4_000)]));
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn a_successor_starts_nothing_before_it_knows_the_halls() {
+fn a_successor_starts_nothing_before_it_knows_the_evacuated_halls() {
     let mut bench = bench(2);
     bench.cell.await_evacuated_halls();
     bench.accept(&job(1, &queue("q", 0), vec![step(2, 4_000)]));
@@ -244,7 +246,7 @@
 }
 
 #[test]
-fn an_older_word_about_a_hall_changes_nothing() {
+fn an_older_evacuation_row_changes_nothing() {
     let mut known = Evacuations::default();
     known.apply(NORTH, 7, true);
 
@@ -255,7 +257,7 @@
 }
 
 #[test]
-fn a_hall_that_is_listed_no_more_is_taken_back() {
+fn a_hall_that_is_no_longer_listed_is_used_again() {
     let mut known = Evacuations::default();
     known.apply(NORTH, 7, true);
     known.apply(SOUTH, 8, true);
@@ -266,7 +268,7 @@
 }
 
 #[test]
-fn what_was_taken_back_is_not_brought_back_by_an_older_list() {
+fn an_ended_evacuation_is_not_restored_by_an_older_list() {
     let mut known = Evacuations::default();
     known.apply(NORTH, 7, true);
     known.apply(NORTH, 9, false);
