--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -1,14 +1,10 @@
-//! Runs that a former owner had started were written off while their lease still ran.
+//! Runs that a former owner started are not given up while its lease lasts.
 //!
-//! How it comes about: a successor takes over a worker's runs with its first look.  Before its
-//! second look, which renews the lease, a start on that worker brings no answer, so the worker
-//! counts as silent and its lease is not renewed.  Then the runs were written off as soon as
-//! the lease of that one start was over, up to a second before the lease that the former
-//! owner gave; their tasks ran twice.
-//!
-//! Cause: the owner counted only the leases that it had given itself.
-//!
-//! Proof: the test below.  It was found by reading; no day of our own showed it.
+//! Guards against an owner that counts only the leases it has granted itself, so that tasks run
+//! twice.  A successor takes over a worker's runs with its first poll.  Before its second poll,
+//! which renews the lease, a start on that worker stays unanswered, so the worker counts as silent
+//! and its lease is not renewed.  The runs must not be given up when the lease of that one start
+//! ends, which is up to a second before the end of the lease that the former owner granted.
 
 mod cell_core;
 
@@ -19,8 +15,8 @@
 use crossweir::cell::tuning;
 use crossweir::clock::Millis;
 
-/// A successor that has taken over a run of job 7 on its first worker with its first look, at
-/// the time that is returned, and then finds that worker silent; another worker is free.
+/// Returns a successor that has taken over a run of job 7 on its first worker with its first poll,
+/// and then finds that worker silent; another worker is free.  Also returns the time of that poll.
 fn successor_with_a_silent_worker() -> (Bench, Millis) {
     let q = queue("q", 0);
     let now = 1_000;
@@ -36,39 +32,39 @@
         percent: 10,
         measurement: None,
     };
-    let look = PollReport {
+    let report = PollReport {
         born: None,
         clock: bench.now,
         running: vec![entry],
         ended: Vec::new(),
     };
-    bench.poll_with_report(silent, &look);
+    bench.poll_with_report(silent, &report);
     bench.poll(other);
-    let heard = bench.now;
+    let polled_at = bench.now;
     bench.pass(10);
     bench.accept(&job(8, &q, vec![step(1, 1_000)]));
     let started = starts(&bench.decide());
     assert_eq!(started.len(), 1);
     assert_eq!(
         started[0].to.worker, silent,
-        "it goes where least room is left"
+        "it is placed where the least room is left"
     );
     bench.now += 250;
     let now = bench.now;
     bench
         .cell
         .start_answered(started[0].run, StartOutcome::Unanswered, None, now);
-    (bench, heard)
+    (bench, polled_at)
 }
 
 #[test]
-fn a_run_that_was_taken_over_keeps_the_lease_that_the_former_owner_gave() {
+fn a_run_that_was_taken_over_keeps_the_former_owners_lease() {
     // Arrange.
-    let (mut bench, heard) = successor_with_a_silent_worker();
+    let (mut bench, polled_at) = successor_with_a_silent_worker();
 
-    // Act: the other worker goes on to answer until the former owner's lease may end.
+    // Act: the other worker goes on answering until the former owner's lease may end.
     let mut started = Vec::new();
-    while bench.now + 100 < heard + tuning::LEASE {
+    while bench.now + 100 < polled_at + tuning::LEASE {
         bench.pass(100);
         let other = bench.worker(1);
         bench.poll(other);
