--- a/tests/former_owner.rs
+++ b/tests/former_owner.rs
@@ -1,5 +1,5 @@
-//! A former owner goes on for a while after the claim and may be told of a job meanwhile: its
-//! successor must not take that job for one that nobody can have started.
+//! A former owner continues for a while after its successor's claim, and may be notified of a job
+//! in that time.  The successor must not take that job for one that nobody can have started.
 
 mod cell_core;
 mod virtual_node;
@@ -23,13 +23,13 @@
 use futures::future::BoxFuture;
 use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
-/// Workers in memory that note the epochs under which tasks were started.
-struct Noted {
+/// Workers in memory that record the epochs under which tasks were started.
+struct RecordingWorkers {
     inner: MemoryWorkers,
     epochs: Arc<Mutex<Vec<u64>>>,
 }
 
-impl Workers for Noted {
+impl Workers for RecordingWorkers {
     fn start<'a>(&'a self, order: &'a StartOrder) -> BoxFuture<'a, (StartOutcome, Option<Millis>)> {
         self.epochs.lock().expect("epochs").push(order.to.epoch);
         self.inner.start(order)
@@ -44,13 +44,13 @@
     }
 }
 
-/// A node that can own a cell of two workers, and the epochs of the starts there.
+/// Returns a node that can own a cell of two workers, and the epochs of the starts there.
 fn node_with_two_workers() -> (VirtualNode, Arc<Mutex<Vec<u64>>>) {
     let epochs: Arc<Mutex<Vec<u64>>> = Arc::default();
     let seen = Arc::clone(&epochs);
     let workers = move |clock: Arc<dyn Clock>| -> Arc<dyn Workers> {
         let ids = ["w0", "w1"].map(str::to_owned);
-        Arc::new(Noted {
+        Arc::new(RecordingWorkers {
             inner: MemoryWorkers::new(clock, ids),
             epochs: seen,
         })
@@ -60,14 +60,14 @@
     (node, epochs)
 }
 
-/// A job of one task that takes `time`.
+/// Returns a job of one task that runs for `time`.
 fn short_job(time: Millis) -> JobRow {
     let mut row = job(7, &queue("q", 0), vec![step(1, 1_000)]);
     row.spec.text = time.to_string();
     row
 }
 
-/// The former owner's start of the job's task.
+/// Returns the former owner's order to start the job's task.
 fn former_start(row: &JobRow, clock: Millis) -> StartOrder {
     StartOrder {
         to: Addressee {
@@ -86,9 +86,10 @@
     }
 }
 
-/// Lets a successor find the row of a job after it has loaded the cell; the former owner
-/// was told of the job and started its task before it was refused.
-async fn starts_of_a_job_that_only_the_former_owner_was_told_of(time: Millis) -> Vec<u64> {
+/// Lets the former owner start the task of a job after the claim, while the worker still accepts
+/// its orders, and the successor find the job's row only after it has loaded the cell.  Returns the
+/// epochs under which the task was started.
+async fn epochs_of_a_job_that_only_the_former_owner_knew(time: Millis) -> Vec<u64> {
     let (node, epochs) = node_with_two_workers();
     let version = claim(&node.store, "n0", 7, 2);
     let row = short_job(time);
@@ -108,8 +109,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_task_that_a_former_owner_ran_after_the_claim_is_not_run_again() {
-    // Arrange, act: it has ended before the successor learns of the job.
-    let epochs = starts_of_a_job_that_only_the_former_owner_was_told_of(300).await;
+    // Arrange, act: the run has ended before the successor learns of the job.
+    let epochs = epochs_of_a_job_that_only_the_former_owner_knew(300).await;
 
     // Assert.
     assert_eq!(epochs, [1], "under which epochs it was started");
@@ -117,8 +118,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_run_that_a_former_owner_began_after_the_claim_is_taken_over() {
-    // Arrange, act: it runs on when the successor learns of the job.
-    let epochs = starts_of_a_job_that_only_the_former_owner_was_told_of(1_500).await;
+    // Arrange, act: the run still goes on when the successor learns of the job.
+    let epochs = epochs_of_a_job_that_only_the_former_owner_knew(1_500).await;
 
     // Assert.
     assert_eq!(epochs, [1], "under which epochs it was started");
