--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -1,24 +1,21 @@
-//! Tasks of a silent worker were not started again while the cell changed hands.
+//! Tasks of a silent worker are started again in time while the cell changes owners repeatedly.
 //!
-//! Seen: nodes were told to end one after another, so that the cell had a new owner each second.
-//! Lasting tasks that had lost their run were not started again for over ten seconds though
-//! there was room, and many urgent jobs failed.
+//! Guards against tasks that are not started again for over ten seconds though there is room, and
+//! against urgent jobs that fail meanwhile.  It happened when nodes were terminated one after
+//! another, so that the cell had a new owner each second.  A successor waits for each worker that
+//! it cannot reach as long as a former owner's lease may last there: 5.8 s from its own claim.
+//! Owners that last 1.5 s never reach that time.  Unless an owner that gives the cell up passes on
+//! how long a silent worker must still be waited for, the wait begins again with each owner, even
+//! if the worker has been silent for twice the lease.  If a worker falls silent just before a
+//! change of owners, none of them knows what runs there, and all jobs wait.
 //!
-//! How it came about: a successor waits for each worker that it cannot reach, for as long as a
-//! former owner's lease may run there: 5.8 s from its own claim.  Owners that last 1.5 s never
-//! reach that, so the wait began anew with each of them, also when the worker had been silent
-//! for twice the lease.  Of a worker that fell silent just before a change nobody knew what
-//! ran there, and then all jobs waited.
+//! Also guards against tasks of unreachable workers that run twice.  This came about because a
+//! successor added the workers of the former owner's roster to its own only in its first scheduling
+//! round: if it ended or recorded anything before, it wrote an empty roster, and its own successor
+//! waited for no worker.
 //!
-//! Also: a successor that ended, or recorded anything, before its first turn of decisions wrote an
-//! empty roster, since it put the workers of the former owner's roster into its own only then.
-//! Its own successor waited for nobody, and tasks of workers out of reach ran twice.
-//!
-//! Cause: an owner that gave the cell up did not pass on how long a silent worker had still to
-//! be waited for.
-//!
-//! Proof: the tests below, and the log of days of our own on which the owner is told to end
-//! each 1.5 s while workers are down; docs/FINDINGS.md has the figures.
+//! docs/FINDINGS.md has figures of runs in which the owner is terminated every 1.5 s while workers
+//! are down.
 
 mod cell_core;
 mod virtual_node;
@@ -49,23 +46,23 @@
 use futures::future::BoxFuture;
 use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
-/// How long each owner lasts.
+/// How long each owner holds the cell.
 const TERM: Duration = Duration::from_millis(1_500);
-/// How long a call to a silent worker takes.
-const CALL_LIMIT: Duration = Duration::from_millis(250);
+/// How long a call to a silent worker waits for an answer.
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What the test sees and says of the workers.
+/// What the test controls and observes of the workers.
 #[derive(Default)]
-struct Seen {
+struct WorkerControl {
     /// Workers that leave every call unanswered.
     silent: Mutex<BTreeSet<String>>,
-    /// When each start was carried out, and where.
+    /// When each start was executed, and on which worker.
     starts: Mutex<Vec<(Millis, String)>>,
-    /// When the lease was last renewed, by worker, and until when.
+    /// When each lease was renewed, and on which worker.
     renewals: Mutex<Vec<(Millis, String)>>,
 }
 
-impl Seen {
+impl WorkerControl {
     fn is_silent(&self, id: &str) -> bool {
         self.silent.lock().expect("silent").contains(id)
     }
@@ -82,7 +79,7 @@
         self.starts.lock().expect("starts").clone()
     }
 
-    /// When the lease of a worker was last renewed.
+    /// Returns when the lease of a worker was last renewed.
     fn renewed(&self, id: &str) -> Millis {
         let renewals = self.renewals.lock().expect("renewals");
         let of_worker = renewals.iter().filter(|(_, worker)| worker == id);
@@ -90,29 +87,29 @@
     }
 }
 
-/// Workers of which some are silent.
-struct Partly {
+/// Workers of which some may be silent.
+struct PartlySilentWorkers {
     inner: MemoryWorkers,
     clock: Arc<dyn Clock>,
-    seen: Arc<Seen>,
+    control: Arc<WorkerControl>,
 }
 
-impl Workers for Partly {
+impl Workers for PartlySilentWorkers {
     fn start<'a>(&'a self, order: &'a StartOrder) -> BoxFuture<'a, (StartOutcome, Option<Millis>)> {
-        if self.seen.is_silent(&order.to.life.id) {
+        if self.control.is_silent(&order.to.life.id) {
             return async {
-                tokio::time::sleep(CALL_LIMIT).await;
+                tokio::time::sleep(CALL_TIMEOUT).await;
                 (StartOutcome::Unanswered, None)
             }
             .boxed();
         }
         let started = (self.clock.now(), order.to.life.id.clone());
-        self.seen.starts.lock().expect("starts").push(started);
+        self.control.starts.lock().expect("starts").push(started);
         self.inner.start(order)
     }
 
     fn stop<'a>(&'a self, order: &'a StopOrder) -> BoxFuture<'a, Result<(), Option<Refusal>>> {
-        if self.seen.is_silent(&order.to.life.id) {
+        if self.control.is_silent(&order.to.life.id) {
             return async { Err(None) }.boxed();
         }
         self.inner.stop(order)
@@ -120,62 +117,66 @@
 
     fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
         async {
-            if self.seen.is_silent(&order.to.life.id) {
-                tokio::time::sleep(CALL_LIMIT).await;
+            if self.control.is_silent(&order.to.life.id) {
+                tokio::time::sleep(CALL_TIMEOUT).await;
                 return Err(PollFailure::Unanswered);
             }
             if order.due.is_some() {
                 let renewal = (self.clock.now(), order.to.life.id.clone());
-                self.seen.renewals.lock().expect("renewals").push(renewal);
+                self.control
+                    .renewals
+                    .lock()
+                    .expect("renewals")
+                    .push(renewal);
             }
-            let look = self.inner.poll(order).await;
-            if self.seen.is_silent(&order.to.life.id) {
+            let report = self.inner.poll(order).await;
+            if self.control.is_silent(&order.to.life.id) {
                 return Err(PollFailure::Unanswered);
             }
-            look
+            report
         }
         .boxed()
     }
 }
 
-/// A node whose cell changes hands, with two workers.
-struct Chain {
+/// A node with two workers that owns the cell under one epoch after another.
+struct OwnerChain {
     node: VirtualNode,
-    seen: Arc<Seen>,
-    workers: Arc<Partly>,
+    control: Arc<WorkerControl>,
+    workers: Arc<PartlySilentWorkers>,
     epoch: u64,
     engine: Arc<Engine>,
 }
 
-impl Chain {
-    /// Begins with the first owner.
+impl OwnerChain {
+    /// Sets up the cell and its first owner.
     async fn begin(q: &Queue) -> Self {
-        let seen: Arc<Seen> = Arc::default();
-        let told = Arc::clone(&seen);
+        let control: Arc<WorkerControl> = Arc::default();
+        let control_copy = Arc::clone(&control);
         let mut made = None;
         let workers = |clock: Arc<dyn Clock>| -> Arc<dyn Workers> {
             let ids = ["w0", "w1"].map(str::to_owned);
-            let partly = Arc::new(Partly {
+            let partly_silent = Arc::new(PartlySilentWorkers {
                 inner: MemoryWorkers::new(Arc::clone(&clock), ids),
                 clock,
-                seen: told,
+                control: control_copy,
             });
-            made = Some(Arc::clone(&partly));
-            partly
+            made = Some(Arc::clone(&partly_silent));
+            partly_silent
         };
         let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
         set_up_cell(&node, std::slice::from_ref(q), &[worker(0), worker(1)]);
         let engine = own(&node, 1).await;
         Self {
             node,
-            seen,
+            control,
             workers: made.expect("workers are made"),
             epoch: 1,
             engine,
         }
     }
 
-    /// A job is accepted.
+    /// Writes the row of a job and notifies the owner of it.
     fn accept(&self, row: &JobRow) {
         let mut tx = Transaction::default();
         let key = RowKey::new(Table::Jobs, "j0", &row.id.to_string());
@@ -184,42 +185,44 @@
         self.engine.accepted(row);
     }
 
-    /// The owner gives the cell up, and the next one takes it.
+    /// The owner gives the cell up in an orderly way, and the next one takes over.
     async fn hand_over(&mut self) {
         election::hand_over(&self.node.shared).await;
         self.succeed().await;
     }
 
-    /// The owner is gone without a word, and the next one takes the cell.
+    /// The owner stops without releasing the cell, and the next one takes over.
     async fn replace(&mut self) {
-        self.engine.retire("it is gone");
+        self.engine.retire("the owner is lost");
         self.succeed().await;
     }
 
+    /// Makes the node the owner under the next epoch.
     async fn succeed(&mut self) {
         self.epoch = tuning::next_epoch(self.epoch);
         self.engine = own(&self.node, self.epoch).await;
     }
 
-    /// Something happens to the owner or to the workers.
+    /// Replaces the owner, silences a worker or ends all silences, depending on `choice`.
     async fn disturb(&mut self, choice: u64) {
         match choice % 6 {
             0 | 1 => self.hand_over().await,
             2 => self.replace().await,
-            3 => self.seen.silence("w0"),
-            4 => self.seen.silence("w1"),
-            _ => self.seen.end_silence(),
+            3 => self.control.silence("w0"),
+            4 => self.control.silence("w1"),
+            _ => self.control.end_silence(),
         }
     }
 
-    /// Where the only task was started last, and how often it was started.
+    /// Returns how often the only task was started, and when and where it was started last.
     fn last_start(&self) -> (usize, Millis, String) {
-        let starts = self.seen.starts();
+        let starts = self.control.starts();
         let (at, worker) = starts.last().expect("a start").clone();
         (starts.len(), at, worker)
     }
 }
 
+/// Makes the node the owner of the cell under `epoch`.
 async fn own(node: &VirtualNode, epoch: u64) -> Arc<Engine> {
     let version = claim(&node.store, "n0", 7, epoch);
     let engine = Engine::start(&node.shared, epoch, version).await;
@@ -228,7 +231,7 @@
     engine
 }
 
-/// A job with one task that lasts.
+/// Returns a job with one lasting task, which does not end by itself.
 fn lasting_job(q: &Queue) -> JobRow {
     JobRow {
         id: JobId(7),
@@ -245,10 +248,10 @@
     }
 }
 
-/// A cell whose only task runs on the worker that is returned.
-async fn cell_with_a_lasting_task() -> (Chain, String) {
+/// Returns a cell with one lasting task, and the worker that runs it.
+async fn cell_with_a_lasting_task() -> (OwnerChain, String) {
     let q = queue("q", 0);
-    let chain = Chain::begin(&q).await;
+    let chain = OwnerChain::begin(&q).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     chain.accept(&lasting_job(&q));
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -257,25 +260,25 @@
     (chain, id)
 }
 
-/// The task of the worker that is silent, whose lease was last renewed at `renewed`, is started
-/// once more elsewhere: after the lease, and within the time that a former owner may be active
-/// and one change of owners.
-fn assert_started_again_in_time(chain: &Chain, silent: &str, renewed: Millis) {
+/// Checks that the task of a silent worker, whose lease was last renewed at `renewed`, is started
+/// once more elsewhere: after the lease has ended, and within the further time in which a former
+/// owner may be active plus one change of owners.
+fn assert_started_again_in_time(chain: &OwnerChain, silent: &str, renewed: Millis) {
     let (count, at, id) = chain.last_start();
     assert_eq!(count, 2, "it is started once more");
     assert_ne!(id, silent);
-    assert!(at >= renewed + 3_500, "its lease ran until then");
+    assert!(at >= renewed + 3_500, "its lease lasted until then");
     assert!(at < renewed + 8_000, "{} ms", at - renewed);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_task_of_a_silent_worker_starts_again_while_the_cell_changes_hands() {
+async fn a_task_of_a_silent_worker_starts_again_while_the_cell_changes_owners() {
     // Arrange.
     let (mut chain, silent) = cell_with_a_lasting_task().await;
-    chain.seen.silence(&silent);
-    let renewed = chain.seen.renewed(&silent);
+    chain.control.silence(&silent);
+    let renewed = chain.control.renewed(&silent);
 
-    // Act: the owner changes each 1.5 s.
+    // Act: the owner changes every 1.5 s.
     for _ in 0..7 {
         tokio::time::sleep(TERM).await;
         chain.hand_over().await;
@@ -286,13 +289,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_task_of_a_worker_that_fell_silent_unnoticed_starts_again_as_well() {
+async fn a_task_of_a_worker_that_falls_silent_at_a_change_of_owners_starts_again() {
     // Arrange.
     let (mut chain, silent) = cell_with_a_lasting_task().await;
-    let renewed = chain.seen.renewed(&silent);
+    let renewed = chain.control.renewed(&silent);
 
-    // Act: it falls silent just as the owner changes, which then goes on.
-    chain.seen.silence(&silent);
+    // Act: the worker falls silent just as the owner changes; further changes follow.
+    chain.control.silence(&silent);
     for _ in 0..7 {
         chain.hand_over().await;
         tokio::time::sleep(TERM).await;
@@ -303,18 +306,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_an_owner_passed_on_does_not_hold_for_its_successors_successor() {
-    // Arrange: a worker is silent for a while, and the cell is handed over meanwhile.
+async fn remaining_leases_passed_on_do_not_hold_for_the_successors_successor() {
+    // Arrange: a worker is silent for a while, and the cell is handed over in that time.
     let (mut chain, silent) = cell_with_a_lasting_task().await;
-    chain.seen.silence(&silent);
+    chain.control.silence(&silent);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     chain.hand_over().await;
 
-    // Act: it answers again and its lease is renewed; then its owner is gone, and it is silent.
-    chain.seen.end_silence();
+    // Act: it answers again, and its lease is renewed; then it falls silent, and the owner is lost.
+    chain.control.end_silence();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    chain.seen.silence(&silent);
-    let renewed = chain.seen.renewed(&silent);
+    chain.control.silence(&silent);
+    let renewed = chain.control.renewed(&silent);
     chain.replace().await;
     tokio::time::sleep(Duration::from_millis(10_000)).await;
 
@@ -325,13 +328,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_owner_that_ends_before_its_first_turn_passes_the_roster_on() {
+async fn an_owner_that_ends_before_its_first_scheduling_round_passes_the_roster_on() {
     // Arrange: a worker has just fallen silent.
     let (mut chain, silent) = cell_with_a_lasting_task().await;
-    chain.seen.silence(&silent);
-    let renewed = chain.seen.renewed(&silent);
+    chain.control.silence(&silent);
+    let renewed = chain.control.renewed(&silent);
 
-    // Act: the next owner is told to end as soon as it has loaded the cell.
+    // Act: the next owner is terminated as soon as it has loaded the cell.
     chain.hand_over().await;
     chain.hand_over().await;
     tokio::time::sleep(Duration::from_secs(10)).await;
@@ -346,8 +349,8 @@
     );
 }
 
-/// A sequence of numbers that look random, the same for the same seed.
-fn numbers(seed: u64) -> impl Iterator<Item = u64> {
+/// Returns a pseudo-random sequence of numbers, which depends only on the seed.
+fn random_numbers(seed: u64) -> impl Iterator<Item = u64> {
     let mut state = seed;
     std::iter::repeat_with(move || {
         state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -357,12 +360,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_task_runs_twice_however_owners_and_silences_follow_one_another() {
+async fn no_task_runs_twice_under_random_changes_of_owners_and_silent_workers() {
     let mut restarts = 0;
     for seed in 0..80 {
         // Arrange.
         let (mut chain, _) = cell_with_a_lasting_task().await;
-        let mut numbers = numbers(seed);
+        let mut numbers = random_numbers(seed);
 
         // Act.
         for _ in 0..30 {
@@ -385,48 +388,48 @@
 }
 
 #[test]
-fn an_owner_that_has_told_of_a_silent_worker_does_nothing_more_there() {
-    // Arrange: an owner has told for how long something may run on its only, silent worker.
+fn an_owner_that_has_passed_on_a_remaining_lease_does_not_use_the_worker() {
+    // Arrange: an owner has passed on the remaining lease of its only worker, which is silent.
     let q = queue("q", 0);
     let mut bench = Bench::new(1, std::slice::from_ref(&q));
     let only = bench.worker(0);
     bench
         .cell
         .poll_failed(only, PollFailure::Unanswered, bench.now);
-    let told = bench.cell.seal_silent(bench.now);
+    let remaining = bench.cell.seal_silent(bench.now);
 
     // Act: the worker answers again.
     bench.poll_all();
     bench.pass(10);
     bench.accept(&job(1, &q, vec![step(1, 1_000)]));
     let started = starts(&bench.decide());
-    let look = bench.cell.poll_order(only, bench.now).expect("a look");
+    let poll = bench.cell.poll_order(only, bench.now).expect("a poll");
 
     // Assert.
-    assert_eq!(told.within.len(), 1);
+    assert_eq!(remaining.within.len(), 1);
     assert!(started.is_empty(), "{started:?}");
-    assert_eq!(look.due, None, "its lease is not renewed");
+    assert_eq!(poll.due, None, "its lease is not renewed");
 }
 
 #[test]
-fn only_the_next_owner_relies_on_what_was_told() {
-    // Arrange: a worker on which a former owner of epoch 3 left something for 100 ms.
+fn only_the_next_owner_relies_on_remaining_leases() {
+    // Arrange: the owner of epoch 3 passed on a remaining lease of 100 ms on a worker.
     let q = queue("q", 0);
-    let lapses = RemainingLeases {
+    let leases = RemainingLeases {
         epoch: 3,
         within: [(worker(0).life.id, 100)].into(),
     };
     let row = job(7, &q, vec![step(1, 1_000)]);
-    let starts_after_lapse = |epoch| {
+    let starts_after_lease = |epoch| {
         let mut cell = Cell::new(epoch, configuration(std::slice::from_ref(&q)), 1_000);
-        let left = |number| RosterEntry {
+        let entry = |number| RosterEntry {
             worker: worker(number),
             jobs: None,
             long_lease: false,
             lost: None,
         };
-        cell.restore_roster(vec![left(0), left(1)], 1_000);
-        cell.apply_remaining_leases(&lapses, 1_000);
+        cell.restore_roster(vec![entry(0), entry(1)], 1_000);
+        cell.apply_remaining_leases(&leases, 1_000);
         cell.accept(&row, None, true, 1_000);
         let mut bench = Bench::with(cell, 1_000);
         let other = bench.worker(1);
@@ -439,6 +442,6 @@
     // Act and assert.
     let next = tuning::next_epoch(3);
     let later = tuning::next_epoch(next);
-    assert_eq!(starts_after_lapse(next), 1, "the next owner");
-    assert_eq!(starts_after_lapse(later), 0, "one that follows another");
+    assert_eq!(starts_after_lease(next), 1, "the next owner");
+    assert_eq!(starts_after_lease(later), 0, "the owner after that");
 }
