--- a/src/experiment/load.rs
+++ b/src/experiment/load.rs
@@ -1,4 +1,4 @@
-//! What arrives in an experiment, and on which workers it runs.
+//! The jobs that arrive in an experiment, and the workers on which they run.
 
 use std::net::SocketAddr;
 
@@ -14,31 +14,32 @@
 
 /// The service of all workers.
 const SERVICE: &str = "experiment";
-/// No job fails for good, also where some workers fail everything.
+/// The number of failed runs of one task at which its job fails: high enough that no job fails, even
+/// if some workers fail every task.
 const ATTEMPTS: u32 = 100;
-/// The share of arrivals that is urgent, as at the first two users.
+/// The share of arrivals that are urgent: the same as at the first two users.
 const URGENT_SHARE: f64 = 0.9;
-/// The share of arrivals that is a gang, as at the third user, whose accelerators serve
-/// as many gangs as jobs of single accelerators.
+/// The share of arrivals that are gangs: the same as at the third user, whose accelerators serve as
+/// many gangs as jobs of tasks with one accelerator.
 const GANG_SHARE: f64 = 0.5;
-/// Accelerators of a worker that has any.
-const GPUS: u64 = 8;
+/// The accelerators of a worker that has any.
+const GPUS_PER_WORKER: u64 = 8;
 
-/// A kind of load: the first queue is the more urgent one.
+/// A kind of load.
 pub trait Load {
-    /// The two queues.
+    /// Returns the two queues, the more urgent one first.
     fn queues(&self) -> [Queue; 2];
 
-    /// One of so many equal workers.
+    /// Returns the entry of the worker with a number; apart from names and racks, all are equal.
     fn worker(&self, number: usize) -> WorkerEntry;
 
-    /// The next job.
+    /// Draws the next job.
     fn job(&self, rng: &mut StdRng, id: u64) -> JobRow;
 
-    /// What a mean arrival takes, in units of [`Load::worker_size`] and milliseconds.
+    /// Returns the mean work of an arrival: units of [`Load::worker_size`] times milliseconds.
     fn mean_work(&self) -> f64;
 
-    /// How much a worker has of what is scarce: cores, or accelerators.
+    /// Returns how much a worker has of the scarce resource: cores or accelerators.
     fn worker_size(&self) -> f64;
 }
 
@@ -78,8 +79,8 @@
     }
 }
 
-/// Gangs of tasks of 2, 4 or 8 accelerators before jobs of single ones, with advice by which
-/// 30% and 45% of the workers are good, as at the third user.
+/// Gangs of tasks with 2, 4 or 8 accelerators, and less urgent jobs of tasks with one.  The advice
+/// service approves 30% of the workers for gangs and 45% for the others, as at the third user.
 pub struct Accelerators;
 
 impl Load for Accelerators {
@@ -101,7 +102,7 @@
     }
 
     fn worker(&self, number: usize) -> WorkerEntry {
-        worker(number, 64_000, 131_072, GPUS)
+        worker(number, 64_000, 131_072, GPUS_PER_WORKER)
     }
 
     fn job(&self, rng: &mut StdRng, id: u64) -> JobRow {
@@ -130,12 +131,13 @@
     }
 
     fn worker_size(&self) -> f64 {
-        GPUS as f64
+        GPUS_PER_WORKER as f64
     }
 }
 
-/// Tells whether a worker is good for a step: always the same answer.
-pub fn is_good(queue_priority: u32, step: &str, worker: &str) -> bool {
+/// Tells whether the advice service approves a worker for a step.  The answer depends on the
+/// arguments only, so it never changes.
+pub fn is_approved(queue_priority: u32, step: &str, worker: &str) -> bool {
     let percent = if queue_priority == 1 { 30 } else { 45 };
     xxhash_rust::xxh3::xxh3_64(format!("{step} {worker}").as_bytes()) % 100 < percent
 }
@@ -178,7 +180,8 @@
     }
 }
 
-/// The text of a job tells the workers in memory how long its tasks run.
+/// Returns the row of a job with one step.  Its text tells the in-memory workers how long the tasks
+/// run.
 fn job(queue: &Queue, id: u64, step: Step) -> JobRow {
     JobRow {
         id: JobId(id),
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -1,7 +1,7 @@
-//! Seeded experiments with the scheduling core: generated arrivals, workers in memory.
+//! Seeded experiments with the scheduling core, with generated arrivals and in-memory workers.
 //!
-//! There is no network and no store here: orders are carried out at once, and what
-//! changed counts as recorded every 20 ms.  `docs/CAPACITY.md` gives figures and commands.
+//! There is no network and no store: orders are executed at once, and every 20 ms all changes count
+//! as recorded.  `docs/CAPACITY.md` gives figures and commands.
 
 pub mod load;
 mod objective;
@@ -25,23 +25,23 @@
 use crate::policy::{BuiltIn, Decision, Policy, Turn};
 use crate::queue::{Configuration, Draft, Queue};
 
-/// Virtual time moves by so much.
-const STEP: Millis = 10;
-/// A worker is looked at so often, as a busy one is by a node.
-const LOOK_EVERY: Millis = 100;
-/// What changed is recorded so often.
-const RECORD_EVERY: Millis = 20;
-/// The largest value that is told apart, in milliseconds or nanoseconds.
-const LARGEST: u64 = 60_000_000_000;
-/// Ways to the advice service, as many as the third user has nodes.
+/// The length of a step of virtual time, in milliseconds.
+const TIME_STEP: Millis = 10;
+/// How often a worker is polled, in milliseconds: as often as a node polls a busy one.
+const POLL_INTERVAL: Millis = 100;
+/// How often changes are recorded, in milliseconds.
+const RECORD_INTERVAL: Millis = 20;
+/// The largest value of the histograms, in milliseconds or nanoseconds; larger ones count as this.
+const MAX_VALUE: u64 = 60_000_000_000;
+/// The number of lanes to the advice service: the third user's nodes, each of which is one lane.
 const LANES: usize = 9;
 
-/// Which kind of load is played.
+/// The kind of load of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Kind {
     /// Short urgent jobs and long batch jobs.
     Cores,
-    /// Gangs and single tasks that need accelerators, with advice.
+    /// Gangs and jobs of independent tasks, all of which need accelerators and advice.
     Accelerators,
 }
 
@@ -54,59 +54,61 @@
     }
 }
 
-/// What to run.
+/// The parameters of an experiment.
 #[derive(Debug, Clone, Serialize)]
 pub struct Setup {
     /// The kind of load.
     pub kind: Kind,
-    /// Waiting steps keep room from less urgent ones.
+    /// Waiting steps reserve room against less urgent ones.
     pub reserves: bool,
-    /// In which order jobs of one queue are considered.
+    /// The order in which jobs of one queue are considered.
     pub turn: Turn,
-    /// How many workers.
+    /// The number of workers.
     pub workers: usize,
-    /// What is asked for of what is scarce, in percent of what there is.
+    /// The demand for the scarce resource, in percent of the workers' capacity.
     pub load_percent: f64,
-    /// Workers on which every task fails, in percent.
+    /// The share of workers on which every task fails, in percent.
     pub bad_percent: f64,
-    /// Virtual milliseconds.
+    /// The length of the experiment, in milliseconds of virtual time.
     pub length: Millis,
-    /// The seed of arrivals.
+    /// The seed from which arrivals are drawn.
     pub seed: u64,
 }
 
-/// What came of it.
+/// The results of an experiment.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// What was run.
+    /// The parameters.
     pub setup: Setup,
-    /// Jobs that arrived.
+    /// The number of jobs that arrived.
     pub jobs: u64,
-    /// Tasks started.
+    /// The number of starts.
     pub starts: u64,
-    /// Milliseconds from arrival to the first start of jobs of the more urgent queue: 50, 99
-    /// and 99.9 of 100.
+    /// The time from a job's arrival to its first start, in milliseconds, in the more urgent queue:
+    /// 50th, 99th and 99.9th percentile.
     pub urgent_wait_ms: [u64; 3],
-    /// The same of the other queue.
+    /// The same for the other queue.
     pub batch_wait_ms: [u64; 3],
-    /// Of the jobs of each queue that should have ended by now, the percent that ended within
-    /// their queue's objective.
+    /// For each queue, the share of jobs that ended within the queue's objective among those that
+    /// should have ended by the end of the experiment, in percent.
     pub in_time_percent: [f64; 2],
-    /// Processors held by tasks, in percent, over the second half.
+    /// The share of processors held by tasks, in percent: the mean over the second half of the
+    /// experiment.
     pub cores_used_percent: f64,
-    /// Nanoseconds of a decision, for each start: 50 and 99 of 100 rounds.
+    /// The real time that a scheduling round takes per start, in nanoseconds: 50th and 99th
+    /// percentile over the rounds that ordered starts.
     pub decision_ns: [u64; 2],
-    /// Starts that the core withheld since they would have broken a rule.
+    /// The number of starts that the core withheld because they would have broken an invariant.
     pub violations: u64,
 }
 
-/// The built-in policy, with reservations switched on or off, and one of the orders.
-struct Switched {
+/// The built-in policy, except that reservations and the turn are set by the experiment.
+struct ExperimentPolicy {
     reserves: bool,
     turn: Turn,
 }
 
-impl Policy for Switched {
+impl Policy for ExperimentPolicy {
     fn decide(&self, queue: &Queue, spec: &JobSpec) -> Decision {
         Decision {
             reserves: self.reserves,
@@ -116,35 +118,41 @@
     }
 }
 
+/// A running experiment.
 struct Experiment {
     setup: Setup,
     cell: Cell,
     workers: BTreeMap<WorkerKey, MemoryWorker>,
     load: Box<dyn Load>,
     queues: [Queue; 2],
-    /// Answers to questions that are on their way, with the time when they come.
-    answers: Vec<(Millis, AdviceOrder)>,
+    /// Questions to the advice service that are not answered yet, with the time of their answer.
+    open_questions: Vec<(Millis, AdviceOrder)>,
     objectives: Objectives,
     rng: StdRng,
     now: Millis,
+    /// The number of jobs that have arrived; also the id of the last one.
     jobs: u64,
+    /// When the next job arrives, in milliseconds.
     next_arrival: f64,
-    waits: [Histogram<u64>; 2],
-    decisions: Histogram<u64>,
-    used: Vec<f64>,
+    /// Times from arrival to the first start, by queue, in milliseconds.
+    first_start_waits: [Histogram<u64>; 2],
+    /// Real time of scheduling rounds per start, in nanoseconds.
+    decision_times: Histogram<u64>,
+    /// Processors held by tasks after each step of the second half, in percent.
+    cores_used: Vec<f64>,
 }
 
 /// Runs one experiment.
 pub fn run(setup: &Setup) -> Outcome {
     let mut experiment = Experiment::new(setup.clone());
     while experiment.now < setup.length {
-        experiment.step();
+        experiment.advance();
     }
     experiment.outcome()
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LARGEST, 3).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, MAX_VALUE, 3).expect("the bounds are in order")
 }
 
 impl Experiment {
@@ -158,18 +166,18 @@
             workspaces: None,
         });
         let mut cell = Cell::new(1, Arc::new(config), 1);
-        cell.set_policy(Arc::new(Switched {
+        cell.set_policy(Arc::new(ExperimentPolicy {
             reserves: setup.reserves,
             turn: setup.turn,
         }));
         cell.set_lanes(&[true; LANES]);
         let entries = (0..setup.workers).map(|number| load.worker(number));
         cell.list_workers(entries.collect(), 1);
-        let bad = (setup.workers as f64 * setup.bad_percent / 100.0) as usize;
+        let failing = (setup.workers as f64 * setup.bad_percent / 100.0) as usize;
         let workers = cell.worker_keys().into_iter().enumerate();
         let workers = workers.map(|(number, key)| {
             let mut worker = MemoryWorker::default();
-            worker.fails_all_tasks = number < bad;
+            worker.fails_all_tasks = number < failing;
             (key, worker)
         });
         Self {
@@ -179,110 +187,113 @@
             cell,
             load,
             queues,
-            answers: Vec::new(),
+            open_questions: Vec::new(),
             objectives: Objectives::default(),
-            now: STEP,
+            now: TIME_STEP,
             jobs: 0,
-            next_arrival: STEP as f64,
-            waits: [histogram(), histogram()],
-            decisions: histogram(),
-            used: Vec::new(),
+            next_arrival: TIME_STEP as f64,
+            first_start_waits: [histogram(), histogram()],
+            decision_times: histogram(),
+            cores_used: Vec::new(),
         }
     }
 
-    fn step(&mut self) {
-        self.now += STEP;
-        self.arrive();
-        self.answer();
-        self.look();
-        self.decide();
-        self.record();
+    fn advance(&mut self) {
+        self.now += TIME_STEP;
+        self.accept_arrivals();
+        self.answer_questions();
+        self.poll_workers();
+        self.run_round();
+        self.record_changes();
         if self.now > self.setup.length / 2 {
             let (used, capacity) = self.cell.room();
-            self.used
+            self.cores_used
                 .push(100.0 * used.millicores as f64 / capacity.millicores as f64);
         }
     }
 
-    fn arrive(&mut self) {
+    /// Accepts the jobs that have arrived: a Poisson process with the rate that gives the load.
+    fn accept_arrivals(&mut self) {
         let size = self.load.worker_size() * self.setup.workers as f64;
         let mean_gap = self.load.mean_work() / (size * self.setup.load_percent / 100.0);
         while self.next_arrival <= self.now as f64 {
             self.jobs += 1;
             let row = self.load.job(&mut self.rng, self.jobs);
             self.objectives
-                .arrived(&row, self.place(&row.queue), self.now);
+                .note_arrival(&row, self.queue_index(&row.queue), self.now);
             self.cell.accept(&row, None, false, self.now);
             let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
             self.next_arrival -= mean_gap * uniform.ln();
         }
     }
 
-    /// The place of a queue among the two.
-    fn place(&self, queue: &Queue) -> usize {
+    /// Returns the index of a queue among the two.
+    fn queue_index(&self, queue: &Queue) -> usize {
         usize::from(queue.priority != self.queues[0].priority)
     }
 
-    /// Answers questions whose time has come.
-    fn answer(&mut self) {
+    /// Answers the questions whose answers are due.
+    fn answer_questions(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.answers)
+        let (due, later) = std::mem::take(&mut self.open_questions)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.answers = later;
+        self.open_questions = later;
         let due: Vec<(Millis, AdviceOrder)> = due;
         for (_, order) in due {
             let step = order.name.to_string();
             let priority = self.objectives.priority(order.name.job);
-            let good = order.workers.iter().map(|(_, id)| id);
-            let good = good.filter(|id| load::is_good(priority, &step, id));
-            let tickets = good.map(|id| (id.clone(), String::from("ticket")));
+            let ids = order.workers.iter().map(|(_, id)| id);
+            let approved = ids.filter(|id| load::is_approved(priority, &step, id));
+            let tickets = approved.map(|id| (id.clone(), String::from("ticket")));
             self.cell.advised(&order, Some(tickets.collect()), now);
         }
     }
 
-    fn look(&mut self) {
-        let turns = LOOK_EVERY / STEP;
-        let turn = self.now / STEP % turns;
-        for (place, (&key, worker)) in self.workers.iter_mut().enumerate() {
-            if place as Millis % turns != turn {
+    /// Polls the workers whose turn it is; polls are spread evenly over [`POLL_INTERVAL`].
+    fn poll_workers(&mut self) {
+        let groups = POLL_INTERVAL / TIME_STEP;
+        let group = self.now / TIME_STEP % groups;
+        for (index, (&key, worker)) in self.workers.iter_mut().enumerate() {
+            if index as Millis % groups != group {
                 continue;
             }
             let Some(order) = self.cell.poll_order(key, self.now) else {
                 continue;
             };
             match worker.poll(&order, self.now) {
-                Ok(look) => self.cell.poll_answered(&order, &look, self.now),
+                Ok(report) => self.cell.poll_answered(&order, &report, self.now),
                 Err(failure) => self.cell.poll_failed(key, failure, self.now),
             }
         }
     }
 
-    fn decide(&mut self) {
+    /// Runs a scheduling round and measures it, executes its orders and notes first starts.
+    fn run_round(&mut self) {
         self.cell.tick(self.now);
         let began = Instant::now();
         self.cell.schedule(self.now);
-        let took = began.elapsed().as_nanos() as u64;
+        let elapsed = began.elapsed().as_nanos() as u64;
         let orders = self.cell.take_orders();
         let starts = orders
             .iter()
             .filter(|order| matches!(order, Order::Start(_)))
             .count() as u64;
-        if let Some(each) = took.checked_div(starts) {
-            self.decisions.saturating_record(each);
+        if let Some(per_start) = elapsed.checked_div(starts) {
+            self.decision_times.saturating_record(per_start);
         }
         for order in orders {
-            self.carry_out(order);
+            self.execute(order);
         }
         for wait in self.cell.take_waits() {
             if wait.until == Milestone::FirstStart {
-                let place = usize::from(wait.priority != self.queues[0].priority);
-                self.waits[place].saturating_record(wait.time);
+                let queue = usize::from(wait.priority != self.queues[0].priority);
+                self.first_start_waits[queue].saturating_record(wait.time);
             }
         }
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn execute(&mut self, order: Order) {
         let now = self.now;
         match order {
             Order::Start(order) => {
@@ -300,12 +311,13 @@
                     self.cell.stop_confirmed(run);
                 }
             }
-            Order::Advise(order) => self.answers.push((now + order.expected, order)),
+            Order::Advise(order) => self.open_questions.push((now + order.expected, order)),
         }
     }
 
-    fn record(&mut self) {
-        if !self.now.is_multiple_of(RECORD_EVERY) {
+    /// Treats all changes as recorded, every [`RECORD_INTERVAL`].
+    fn record_changes(&mut self) {
+        if !self.now.is_multiple_of(RECORD_INTERVAL) {
             return;
         }
         let roster = self.cell.roster_version();
@@ -313,7 +325,7 @@
         let batch = self.cell.take_batch(usize::MAX);
         for (_, id, progress) in &batch.rows {
             if progress.state.is_final() {
-                self.objectives.ended(*id, self.now);
+                self.objectives.note_end(*id, self.now);
             }
         }
         self.cell.batch_recorded(batch, self.now);
@@ -321,16 +333,17 @@
 
     fn outcome(self) -> Outcome {
         let counts = self.cell.counts();
-        let [urgent, batch] = &self.waits;
-        let waits = |h: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| h.value_at_quantile(q));
+        let [urgent, batch] = &self.first_start_waits;
+        let percentiles = |h: &Histogram<u64>| [0.5, 0.99, 0.999].map(|q| h.value_at_quantile(q));
         Outcome {
             jobs: self.jobs,
             starts: counts.starts,
-            urgent_wait_ms: waits(urgent),
-            batch_wait_ms: waits(batch),
+            urgent_wait_ms: percentiles(urgent),
+            batch_wait_ms: percentiles(batch),
             in_time_percent: self.objectives.in_time_percent(self.now),
-            cores_used_percent: self.used.iter().sum::<f64>() / self.used.len().max(1) as f64,
-            decision_ns: [0.5, 0.99].map(|q| self.decisions.value_at_quantile(q)),
+            cores_used_percent: self.cores_used.iter().sum::<f64>()
+                / self.cores_used.len().max(1) as f64,
+            decision_ns: [0.5, 0.99].map(|q| self.decision_times.value_at_quantile(q)),
             violations: counts.violations,
             setup: self.setup,
         }
--- a/src/experiment/objective.rs
+++ b/src/experiment/objective.rs
@@ -1,4 +1,4 @@
-//! Whether the jobs of an experiment end in time.
+//! Which jobs of an experiment end within the objectives of their queues.
 
 use std::collections::BTreeMap;
 
@@ -6,55 +6,60 @@
 use crate::cell::spec::JobId;
 use crate::clock::Millis;
 
-/// What is known of one job.
+/// A job that has arrived.
 #[derive(Debug)]
-struct Arrived {
-    /// Which of the two queues it is in.
-    place: usize,
+struct ArrivedJob {
+    /// The index of its queue among the two.
+    queue: usize,
     priority: u32,
-    /// When it must have ended.
+    /// When it must have ended, to meet the objective.
     due: Millis,
     ended: Option<Millis>,
 }
 
-/// All jobs of an experiment.
+/// The objectives of all jobs of an experiment.
 #[derive(Debug, Default)]
 pub struct Objectives {
-    jobs: BTreeMap<JobId, Arrived>,
+    jobs: BTreeMap<JobId, ArrivedJob>,
 }
 
 impl Objectives {
-    /// A job has arrived: it may take its longest chain, as often as its queue says, and more.
-    pub fn arrived(&mut self, row: &JobRow, place: usize, now: Millis) {
-        let chain: Millis = row.spec.steps.iter().map(|step| step.estimate).sum();
-        let asking = row.queue.advice.map_or(0, |advice| advice.duration(30));
-        let objective = row.queue.stretch * (chain + asking) as f64;
-        let arrived = Arrived {
-            place,
+    /// Notes that a job has arrived in the queue with an index.  It may take the queue's `stretch`
+    /// times the sum of its estimated critical path and the time for advice, plus the queue's
+    /// `slack`.
+    pub fn note_arrival(&mut self, row: &JobRow, queue: usize, now: Millis) {
+        // The jobs of experiments have one step, so this is the length of the critical path.
+        let critical_path: Millis = row.spec.steps.iter().map(|step| step.estimate).sum();
+        // The time that advice takes for a question about 30 workers.
+        let advice_time = row.queue.advice.map_or(0, |advice| advice.duration(30));
+        let objective = row.queue.stretch * (critical_path + advice_time) as f64;
+        let job = ArrivedJob {
+            queue,
             priority: row.queue.priority,
             due: now + objective as Millis + row.queue.slack,
             ended: None,
         };
-        self.jobs.insert(row.id, arrived);
+        self.jobs.insert(row.id, job);
     }
 
-    /// A job has ended, as recorded.
-    pub fn ended(&mut self, id: JobId, now: Millis) {
+    /// Notes that the end of a job has been recorded; only the first call for a job counts.
+    pub fn note_end(&mut self, id: JobId, now: Millis) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.ended.get_or_insert(now);
         }
     }
 
-    /// The priority of a job's queue; that of the least urgent for a job that is not known.
+    /// Returns the priority of a job's queue; the least urgent one for an unknown job.
     pub fn priority(&self, id: JobId) -> u32 {
         self.jobs.get(&id).map_or(u32::MAX, |job| job.priority)
     }
 
-    /// Of the jobs of each queue that were due by now, the percent that ended in time.
+    /// Returns, for each queue, the share of jobs that ended in time among those due by `now`, in
+    /// percent.
     pub fn in_time_percent(&self, now: Millis) -> [f64; 2] {
-        [0, 1].map(|place| {
-            let of_queue = self.jobs.values().filter(|job| job.place == place);
-            let due: Vec<&Arrived> = of_queue.filter(|job| job.due <= now).collect();
+        [0, 1].map(|queue| {
+            let of_queue = self.jobs.values().filter(|job| job.queue == queue);
+            let due: Vec<&ArrivedJob> = of_queue.filter(|job| job.due <= now).collect();
             let in_time = due
                 .iter()
                 .filter(|job| job.ended.is_some_and(|at| at <= job.due));
