--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -42,7 +42,7 @@
 
 /// Returns why the only step of a job waits.
 fn waits_for(bench: &Bench, id: u64) -> Option<WaitReason> {
-    let view = bench.cell.view(JobId(id), bench.now).expect("it is known");
+    let view = bench.cell.view(JobId(id), bench.now).expect("a known job");
     view.steps[0].waits_for
 }
 
@@ -217,10 +217,10 @@
     assert_eq!(after.len(), 1);
 }
 
-/// Returns a successor of an owner with four workers on which any job may run.  The first `heard`
-/// workers have answered, worker 0 with a run of 8 cores.  Job 2, which nobody has started yet, has
-/// been accepted since.
-fn successor(team: &Workspace, heard: usize) -> Bench {
+/// Returns a successor of an owner with four workers on which any job may run.  The first
+/// `answered` workers have answered, worker 0 with a run of 8 cores.  Job 2, which nobody has
+/// started yet, has been accepted since.
+fn successor(team: &Workspace, answered: usize) -> Bench {
     let queues = [queue("q", 0)];
     let config = shared_configuration(2, &queues, std::slice::from_ref(team));
     let mut cell = Cell::new(16, config, 1_000);
@@ -233,7 +233,7 @@
     cell.restore_roster((0..4).map(entry).collect(), 1_000);
     cell.accept(&owned(1, team, vec![step(1, 8_000)]), None, true, 1_000);
     let mut bench = Bench::with(cell, 1_010);
-    for number in 0..heard {
+    for number in 0..answered {
         let running = match number {
             0 => vec![listed_run("0000000000000001.0.0.0", 1_000_001)],
             _ => Vec::new(),
@@ -256,10 +256,14 @@
     all_have_answered = { 4, 32, 3 },
     three_have_answered_and_the_cap_is_wide = { 3, 64, 4 },
 )]
-fn a_successor_counts_possible_unknown_runs_against_the_cap(heard: usize, cap: u64, wanted: usize) {
+fn a_successor_counts_possible_unknown_runs_against_the_cap(
+    answered: usize,
+    cap: u64,
+    wanted: usize,
+) {
     // A worker that has not answered may hold 16 cores for any workspace; 8 are known to be held.
     let team = workspace("team", cap);
-    let mut bench = successor(&team, heard);
+    let mut bench = successor(&team, answered);
     assert_eq!(starts(&bench.decide()).len(), wanted);
 }
 
--- a/tests/ends_under_load.rs
+++ b/tests/ends_under_load.rs
@@ -2,19 +2,19 @@
 //!
 //! Guards against double starts as seen without any fault, with over a thousand workers and an
 //! owner that lagged behind: three seconds after runs had ended well, the same node started all of
-//! their tasks again at once.  The cause was not reproduced; these tests cover the ways to such
-//! double starts that the code allowed:
+//! their tasks again at once.  It was not reproduced; these tests cover all causes that were found
+//! by reading the code:
 //!
-//! - The batch that goes with the release of the cell was taken outside of the lock that keeps
-//!   transactions in order, while another transaction was in flight.  The recording loop then found
-//!   ends without rows to write, and let the workers forget them before the release was durable.
+//! - If the batch that goes with the release of the cell is taken outside of the lock that keeps
+//!   transactions in order, while another transaction is in flight, the recording loop finds ends
+//!   without rows to write, and lets the workers forget them before the release is durable.
 //! - A job that is submitted again has a row younger than the claim, and a job that is accepted
-//!   after the claim may be sent to a former owner that does not know of the claim yet.  Both were
-//!   taken for jobs that nobody had started.
-//! - A new owner assumed no lease on a worker until it had granted one itself, and granted leases
-//!   by a reading of the worker's clock of any age.
-//! - A worker lists a bounded number of ends at once, and a run in neither of its lists was taken
-//!   to have ended.
+//!   after the claim may be sent to a former owner that does not know of the claim yet.  Neither
+//!   may be taken for a job that nobody has started.
+//! - A new owner must assume a lease on a worker even before it has granted one itself, and must
+//!   not grant one by an old reading of the worker's clock.
+//! - A worker lists a bounded number of ends at once, so a run in neither of its lists may go on or
+//!   have ended well.
 
 mod cell_core;
 mod virtual_node;
@@ -259,12 +259,12 @@
     let order = bench.cell.poll_order(worker, bench.now);
     let due = order.and_then(|order| order.due);
 
-    // Assert: otherwise the lease would end later by the worker's clock than the owner assumes.
+    // Assert: by the worker's slow clock, the lease must not last longer than the owner assumes.
     let clock = read + (bench.now - read) * 98 / 100;
-    let counted = tuning::LEASE + tuning::LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000;
-    let counted = counted + tuning::LEASE_MARGIN;
-    let kept = due.map_or(0, |due| (due - clock) * 100 / 98);
-    assert!(kept <= counted, "{kept} {counted}");
+    let assumed = tuning::LEASE + tuning::LEASE * tuning::MAX_CLOCK_DRIFT_PERMILLE / 1_000;
+    let assumed = assumed + tuning::LEASE_MARGIN;
+    let granted = due.map_or(0, |due| (due - clock) * 100 / 98);
+    assert!(granted <= assumed, "{granted} {assumed}");
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/handing_over.rs
+++ b/tests/handing_over.rs
@@ -324,7 +324,7 @@
     // Assert.
     let (count, at, _) = chain.last_start();
     assert_eq!(count, 2, "it is started once more");
-    assert!(at >= renewed + 3_500, "its lease ran until then");
+    assert!(at >= renewed + 3_500, "its lease lasted until then");
 }
 
 #[tokio::test(start_paused = true)]
@@ -344,7 +344,7 @@
     assert_eq!(count, 2, "it is started once more");
     assert!(
         at >= renewed + 3_500,
-        "its lease ran until then: {}",
+        "its lease lasted until then: {}",
         at - renewed
     );
 }
@@ -379,8 +379,8 @@
         runs.sort_by_key(|run| run.began);
         restarts += runs.len() - 1;
         for pair in runs.windows(2) {
-            let over = pair[0].ended.is_some_and(|(at, _)| at <= pair[1].began);
-            assert!(over, "seed {seed}: {pair:?}");
+            let ended_before = pair[0].ended.is_some_and(|(at, _)| at <= pair[1].began);
+            assert!(ended_before, "seed {seed}: {pair:?}");
         }
         chain.engine.retire("the test goes on with another seed");
     }
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -16,7 +16,7 @@
 use crossweir::policy::{BuiltIn, Decision, Policy, Turn};
 use crossweir::queue::Queue;
 
-/// The built-in policy with a fixed order of jobs.
+/// The built-in policy with a fixed turn, the order among jobs of equal priority.
 struct FixedTurn(Turn);
 
 impl Policy for FixedTurn {
