--- a/src/bin/crossweir/flags.rs
+++ b/src/bin/crossweir/flags.rs
@@ -1,9 +1,9 @@
-//! The command line of the tool.
+//! The flags and subcommands of the command-line tool.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Speaks to a node of crossweir.
+    /// Makes calls to a node of crossweir, and checks files.
     ///
     /// Examples:
     ///   crossweir submit plain report.json
@@ -19,7 +19,7 @@
         /// Prints JSON instead of tables.
         optional --json
 
-        /// Hands in the job that a JSON file describes.
+        /// Submits the job that a JSON file describes.
         cmd submit {
             /// The queue.
             required queue: String
@@ -28,7 +28,7 @@
             /// The job's id, 16 hexadecimal digits; drawn at random unless given.
             optional --id id: String
         }
-        /// Shows how a job stands.
+        /// Shows the state of a job and of its steps.
         cmd job {
             /// The id.
             required id: String
@@ -66,11 +66,11 @@
             /// The file.
             required file: PathBuf
         }
-        /// Gathers a report for a bug.
+        /// Collects a report to attach to a bug report.
         cmd diagnose { }
-        /// Prints a reference: `settings` or `refusals`.
+        /// Prints a reference: of the settings or of the refusals.
         cmd reference {
-            /// Which.
+            /// `settings` or `refusals`.
             required what: String
         }
     }
--- a/src/bin/crossweir/main.rs
+++ b/src/bin/crossweir/main.rs
@@ -1,4 +1,4 @@
-//! The command-line tool: parses flags, calls the library, prints.
+//! The command-line tool: parses flags, calls the library and prints the result.
 
 mod flags;
 
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// The address that is called unless another is given.
+/// The address of the node that is called unless another is given.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:8085";
 
 fn main() -> ExitCode {
@@ -39,7 +39,8 @@
     }
 }
 
-/// Holds a key of the caller's workspace: on the command line it would be shown to everybody.
+/// The environment variable that holds a key of the caller's workspace.  There is no flag for the
+/// key itself, since all users of the machine can see the arguments of a process.
 const KEY_VARIABLE: &str = "CROSSWEIR_KEY";
 
 async fn run(flags: flags::Crossweir) -> Result<String, CliError> {
@@ -53,14 +54,14 @@
     let json = flags.json;
     match flags.subcommand {
         CrossweirCmd::Submit(cmd) => submit(&endpoint, json, cmd).await,
-        CrossweirCmd::Job(cmd) => choose(json, &endpoint.job(&cmd.id).await?, show::job),
-        CrossweirCmd::Explain(cmd) => choose(json, &endpoint.job(&cmd.id).await?, show::explain),
+        CrossweirCmd::Job(cmd) => render(json, &endpoint.job(&cmd.id).await?, show::job),
+        CrossweirCmd::Explain(cmd) => render(json, &endpoint.job(&cmd.id).await?, show::explain),
         CrossweirCmd::Cancel(cmd) => {
             let cancelled = endpoint.cancel(&cmd.id).await?;
-            choose(json, &cancelled, |job| format!("cancelled {}", job.id))
+            render(json, &cancelled, |job| format!("cancelled {}", job.id))
         }
-        CrossweirCmd::Status(_) => choose(json, &endpoint.status().await?, show::status),
-        CrossweirCmd::Policy(_) => pretty(&endpoint.policy().await?),
+        CrossweirCmd::Status(_) => render(json, &endpoint.status().await?, show::status),
+        CrossweirCmd::Policy(_) => pretty_json(&endpoint.policy().await?),
         CrossweirCmd::SetPolicy(cmd) => set_policy(&endpoint, cmd).await,
         CrossweirCmd::Check(cmd) => check_settings(&cmd.file),
         CrossweirCmd::CheckPolicy(cmd) => check_policy(&cmd.file),
@@ -74,11 +75,11 @@
 
 async fn submit(endpoint: &Endpoint, json: bool, cmd: flags::Submit) -> Result<String, CliError> {
     let text = call::read_text(&cmd.file)?;
-    let job: Value = serde_json::from_str(&text).map_err(|err| content(&cmd.file, &err))?;
+    let job: Value = serde_json::from_str(&text).map_err(|err| invalid_file(&cmd.file, &err))?;
     let id = cmd.id.unwrap_or_else(|| JobId(rand::random()).to_string());
     let body = json!({"id": id, "queue": cmd.queue, "job": job});
     let accepted = endpoint.submit(call::to_json(&body)?).await?;
-    choose(json, &accepted, |job| format!("accepted as {}", job.id))
+    render(json, &accepted, |job| format!("accepted as {}", job.id))
 }
 
 async fn set_policy(endpoint: &Endpoint, cmd: flags::SetPolicy) -> Result<String, CliError> {
@@ -92,35 +93,36 @@
 }
 
 fn check_settings(file: &Path) -> Result<String, CliError> {
-    Settings::load(file).map_err(|err| content(file, &err))?;
+    Settings::load(file).map_err(|err| invalid_file(file, &err))?;
     Ok(format!("{}: no faults", file.display()))
 }
 
 fn check_policy(file: &Path) -> Result<String, CliError> {
     let source = call::read_text(file)?;
-    Program::parse_and_test(&source).map_err(|err| content(file, &err))?;
+    Program::parse_and_test(&source).map_err(|err| invalid_file(file, &err))?;
     Ok(format!("{}: no faults", file.display()))
 }
 
-fn content(file: &Path, err: &dyn std::fmt::Display) -> CliError {
-    CliError::Content {
+fn invalid_file(file: &Path, err: &dyn std::fmt::Display) -> CliError {
+    CliError::InvalidFile {
         path: file.to_owned(),
         detail: err.to_string(),
     }
 }
 
-fn choose<T: Serialize>(
+/// Renders a value as JSON or as a table.
+fn render<T: Serialize>(
     json: bool,
     value: &T,
     table: impl Fn(&T) -> String,
 ) -> Result<String, CliError> {
     if json {
-        pretty(value)
+        pretty_json(value)
     } else {
         Ok(table(value))
     }
 }
 
-fn pretty<T: Serialize>(value: &T) -> Result<String, CliError> {
+fn pretty_json<T: Serialize>(value: &T) -> Result<String, CliError> {
     serde_json::to_string_pretty(value).map_err(|source| CliError::Encode { source })
 }
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the command-line tool to a node.
+//! The calls that the command-line tool makes to a node.
 
 use std::path::Path;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::http::response::ErrorBody;
 use crate::node::status::NodeStatus;
 
-/// How long a call may take.
+/// The time-out of a call.
 const TIMEOUT: Duration = Duration::from_secs(15);
 /// The header that carries a workspace's key.
 const KEY_HEADER: &str = "authorization";
 /// The path of the policy.
 const POLICY: &str = "/v1/operator/policy";
 
-/// A node, and who calls it.
+/// A node's own interface, with the credentials of the caller.
 pub struct Endpoint {
     http: HttpClient,
     address: String,
@@ -30,8 +30,8 @@
 }
 
 impl Endpoint {
-    /// Names a node by `address`, an IP number and a port, and the caller by the operators' token or
-    /// a workspace's key.
+    /// Creates an endpoint for the node at `address`, an IP address and a port.  Calls carry the
+    /// operators' token, a workspace's key, both or neither.
     pub fn new(address: String, token: Option<String>, key: Option<String>) -> Self {
         let token = token.map(|token| (TOKEN_HEADER, token.trim().to_owned()));
         let key = key.map(|key| (KEY_HEADER, format!("Bearer {}", key.trim())));
@@ -42,15 +42,15 @@
         }
     }
 
-    /// Hands a job in; the body is JSON of [`crate::http::api::Submission`].
+    /// Submits a job; the body is [`crate::http::api::Submission`] as JSON.
     ///
     /// # Errors
-    /// See [`CliError`]; so with all calls below.
+    /// See [`CliError`].
     pub async fn submit(&self, body: Vec<u8>) -> Result<Accepted, CliError> {
         self.json(Method::POST, "/v1/jobs", body).await
     }
 
-    /// Asks how a job stands.
+    /// Fetches the state of a job and of its steps.
     ///
     /// # Errors
     /// See [`CliError`].
@@ -68,7 +68,7 @@
         self.json(Method::DELETE, &path, Vec::new()).await
     }
 
-    /// Asks how the node stands.
+    /// Fetches the node's status.
     ///
     /// # Errors
     /// See [`CliError`].
@@ -76,7 +76,7 @@
         self.json(Method::GET, "/v1/status", Vec::new()).await
     }
 
-    /// Asks for the policy in force.
+    /// Fetches the policy in force.
     ///
     /// # Errors
     /// See [`CliError`].
@@ -92,28 +92,30 @@
         self.json(Method::PUT, POLICY, to_json(change)?).await
     }
 
-    /// Reads a page as text.
+    /// Fetches the body of a path as text, whatever the status code is.
     ///
     /// # Errors
     /// See [`CliError`].
     pub async fn text(&self, path: &str) -> Result<String, CliError> {
-        let answer = self.raw(Method::GET, path, Vec::new()).await?;
-        Ok(String::from_utf8_lossy(&answer.body).into_owned())
+        let response = self.raw(Method::GET, path, Vec::new()).await?;
+        Ok(String::from_utf8_lossy(&response.body).into_owned())
     }
 
+    /// Makes a call and decodes the JSON of a successful response.
     async fn json<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<T, CliError> {
-        let answer = self.raw(method, path, body).await?;
-        if !answer.status.is_success() {
-            return Err(self.failure(&answer));
+        let response = self.raw(method, path, body).await?;
+        if !response.status.is_success() {
+            return Err(self.error_response(&response));
         }
-        answer.json().map_err(|source| self.call_error(source))
+        response.json().map_err(|source| self.call_error(source))
     }
 
+    /// Makes a call and returns the response, also one that reports an error.
     async fn raw(
         &self,
         method: Method,
@@ -121,14 +123,15 @@
         body: Vec<u8>,
     ) -> Result<FullResponse, CliError> {
         let url = format!("http://{}{path}", self.address);
-        let answer = self.http.call(method, &url, &self.headers, body, TIMEOUT);
-        let answer = answer.await;
-        answer.map_err(|source| self.call_error(source))
+        let response = self.http.call(method, &url, &self.headers, body, TIMEOUT);
+        let response = response.await;
+        response.map_err(|source| self.call_error(source))
     }
 
-    fn failure(&self, answer: &FullResponse) -> CliError {
-        match answer.json::<ErrorBody>() {
-            Ok(failure) => CliError::Answered { failure },
+    /// Decodes the error that a response holds.
+    fn error_response(&self, response: &FullResponse) -> CliError {
+        match response.json::<ErrorBody>() {
+            Ok(body) => CliError::ErrorResponse { body },
             Err(source) => self.call_error(source),
         }
     }
@@ -152,7 +155,7 @@
     })
 }
 
-/// Encodes a body.
+/// Encodes a request body as JSON.
 ///
 /// # Errors
 /// Returns [`CliError::Encode`].
--- a/src/cli/diagnose.rs
+++ b/src/cli/diagnose.rs
@@ -1,10 +1,11 @@
-//! A report for a bug: versions, how the node stands and the counters, without secrets.
+//! A report to attach to a bug report: version, operating system, the node's status, health and
+//! metrics, without secrets.
 
 use crate::cli::call::Endpoint;
 use crate::cli::exit::CliError;
 use crate::cli::show;
 
-/// Gathers a report; what cannot be had is named instead of ending the report.
+/// Collects the report.  A part that cannot be fetched is replaced by the error.
 pub async fn report(endpoint: &Endpoint) -> String {
     let mut out = format!(
         "crossweir {}\n{} {}\n",
@@ -22,7 +23,8 @@
     out
 }
 
+/// Appends a section with a heading.
 fn section(out: &mut String, name: &str, text: Result<String, CliError>) {
-    let text = text.unwrap_or_else(|err| format!("not to be had: {err}"));
+    let text = text.unwrap_or_else(|err| format!("not available: {err}"));
     out.push_str(&format!("\n== {name}\n{text}\n"));
 }
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -1,4 +1,4 @@
-//! How the command-line tool ends: a code for each kind of failure.
+//! The exit codes of the command-line tool, one for each kind of failure, and its errors.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,21 +9,21 @@
 /// The exit codes, as `docs/OPERATIONS.md` lists them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// It worked.
+    /// The command succeeded.
     Success = 0,
-    /// The command line or a file given on it is at fault.
+    /// The command line or a file given on it is invalid.
     Usage = 2,
-    /// It was refused, and nothing ran or changed.
+    /// The node refused the call, and nothing ran or changed.
     Refused = 3,
-    /// It may or may not have run or changed.
+    /// The outcome is unknown: the call may or may not have taken effect.
     Unknown = 4,
     /// No node could be reached.
     Unreachable = 5,
-    /// Another operator's change came first.
+    /// Another operator has changed the policy first.
     Conflict = 6,
 }
 
-/// Why a command did not work.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
     /// A file cannot be read.
@@ -31,36 +31,36 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file does not hold what it should.
-    #[error("{} is not what is expected: {detail}", path.display())]
-    Content {
+    /// A file has invalid contents.
+    #[error("{} is invalid: {detail}", path.display())]
+    InvalidFile {
         /// The file.
         path: PathBuf,
         /// What is wrong.
         detail: String,
     },
-    /// A body cannot be encoded.
-    #[error("the call cannot be encoded: {source}")]
+    /// A value cannot be encoded as JSON.
+    #[error("cannot encode JSON: {source}")]
     Encode {
         /// What is wrong.
         source: serde_json::Error,
     },
-    /// The node could not be reached or did not answer.
+    /// The node could not be reached, did not answer, or sent a malformed response.
     #[error("{address}: {source}\n  Is the address right?  Give another with --address.")]
     Call {
         /// The address that was called.
         address: String,
-        /// What went wrong.
+        /// The error of the HTTP client.
         source: CallError,
     },
-    /// The node refused, or could not say what became of it.
-    #[error("{}: {}\n  {}", failure.code, failure.message, failure.remedy)]
-    Answered {
-        /// What the node said.
-        failure: ErrorBody,
+    /// The node refused the call, or does not know its outcome.
+    #[error("{}: {}\n  {}", body.code, body.message, body.remedy)]
+    ErrorResponse {
+        /// The body of the response.
+        body: ErrorBody,
     },
 }
 
@@ -68,7 +68,7 @@
     /// Returns the exit code.
     pub fn exit(&self) -> Exit {
         match self {
-            CliError::File { .. } | CliError::Content { .. } | CliError::Encode { .. } => {
+            CliError::File { .. } | CliError::InvalidFile { .. } | CliError::Encode { .. } => {
                 Exit::Usage
             }
             CliError::Call {
@@ -76,9 +76,9 @@
                 ..
             } => Exit::Unreachable,
             CliError::Call { .. } => Exit::Unknown,
-            CliError::Answered { failure } if failure.code == "version_conflict" => Exit::Conflict,
-            CliError::Answered { failure } if failure.outcome == "unknown" => Exit::Unknown,
-            CliError::Answered { .. } => Exit::Refused,
+            CliError::ErrorResponse { body } if body.code == "version_conflict" => Exit::Conflict,
+            CliError::ErrorResponse { body } if body.outcome == "unknown" => Exit::Unknown,
+            CliError::ErrorResponse { .. } => Exit::Refused,
         }
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! What the command-line tool does; the binary only parses its flags.
+//! The calls, tables and exit codes of the command-line tool; the binary under `src/bin/crossweir`
+//! parses flags and calls these.
 
 pub mod call;
 pub mod diagnose;
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Rendering of the node's responses as text for people.
 
 use std::fmt::Write;
 
@@ -7,7 +7,7 @@
 use crate::node::status::NodeStatus;
 use crate::refusal::Refusal;
 
-/// Renders how a node stands.
+/// Renders a node's status: a head, then a table of the nodes and one of the queues.
 pub fn status(status: &NodeStatus) -> String {
     let mut out = format!(
         "{}  {}, {}\n  epoch {}, owner {}, configuration {}, store {}\n",
@@ -21,7 +21,7 @@
         status.epoch,
         status.owner.as_deref().unwrap_or("unknown"),
         status.configuration,
-        reached(status.reaches_store),
+        store_state(status.reaches_store),
     );
     let _ = writeln!(out, "  evacuated halls: {}", halls(status));
     let _ = writeln!(
@@ -40,7 +40,7 @@
             member.name,
             member.address,
             member.configuration,
-            reached(member.reaches_store),
+            store_state(member.reaches_store),
             if member.leaving { "leaving" } else { "" },
         );
     }
@@ -62,11 +62,11 @@
     }
 }
 
-fn reached(reached: bool) -> &'static str {
+fn store_state(reached: bool) -> &'static str {
     if reached { "reached" } else { "away" }
 }
 
-/// Renders how a job stands.
+/// Renders the state of a job and of its steps.
 pub fn job(view: &JobView) -> String {
     let mut out = format!("{}  {:?}  {}\n", view.id, view.state, view.queue);
     if let Some(workspace) = &view.workspace {
@@ -94,13 +94,13 @@
     format!("{millicores} millicores, {memory} MiB, {gpus} accelerators")
 }
 
-/// Explains why a job waits, and what can be done.
+/// Renders the state of a job, why each waiting step waits, and what can be done about it.
 pub fn explain(view: &JobView) -> String {
     let mut out = job(view);
     if view.steps.is_empty() && !view.state.is_final() {
         out.push_str(
             "  The owner of the cell could not be asked, so it is not known what it waits for.\n\
-             \x20   What to do: ask again; if it stays, look at `crossweir status`.\n",
+             \x20   What to do: ask again; if it persists, look at `crossweir status`.\n",
         );
         return out;
     }
@@ -108,7 +108,7 @@
         .steps
         .iter()
         .filter_map(|step| Some((step, step.waits_for?)));
-    let mut any = false;
+    let mut any_waits = false;
     for (step, reason) in waiting {
         let (why, remedy) = describe(reason);
         let _ = writeln!(
@@ -116,24 +116,25 @@
             "  Step {}.{} waits because {why}.\n    What to do: {remedy}.",
             step.time, step.step
         );
-        any = true;
+        any_waits = true;
     }
-    if !any {
+    if !any_waits {
         out.push_str("  Nothing of it waits.\n");
     }
     out
 }
 
+/// Returns why a step waits and what can be done about it.
 fn describe(reason: WaitReason) -> (&'static str, &'static str) {
     match reason {
         WaitReason::EarlierSteps => ("steps before it are not done", "wait"),
         WaitReason::NoQueue => (
             "the configuration in force does not have its queue",
-            "put the queue back, or cancel the job",
+            "add the queue to the configuration again, or cancel the job",
         ),
         WaitReason::Settling => (
             "a former owner may still be running it",
-            "wait for some seconds; if it stays, look for workers that do not answer",
+            "wait for some seconds; if it persists, look for workers that do not answer",
         ),
         WaitReason::Quota => (
             "its queue holds as many processors as the policy allows",
@@ -144,16 +145,16 @@
             "wait, or have the operator raise the cap",
         ),
         WaitReason::AfterCrash => (
-            "workers were lost as it began, so its tasks are tried one by one",
+            "workers were lost when its tasks began, so these are tried one at a time",
             "wait; look for `worker crashed under a task` in the owner's log",
         ),
         WaitReason::Advice => (
             "the advice service has not said which workers may run it",
-            "wait; if it stays, look for `advice failed` in the owner's log",
+            "wait; if it persists, look for `advice failed` in the owner's log",
         ),
         WaitReason::Evacuated => (
             "there is room for it in evacuated halls only",
-            "wait, free room elsewhere, or have the operator take a hall back",
+            "wait, free room elsewhere, or have the operator put a hall back into use",
         ),
         WaitReason::NoRoom => (
             "no worker that may run it has room",
