--- a/src/bin/crossweir-bench/main.rs
+++ b/src/bin/crossweir-bench/main.rs
@@ -1,29 +1,30 @@
-//! The experiment tool: seeded runs of the scheduling core, as JSON lines or a table.
+//! The experiment tool: runs seeded experiments with the scheduling core and prints their results
+//! as JSON lines or a table.
 
 use crossweir::experiment::{self, Kind, Outcome, Setup};
 use crossweir::policy::Turn;
 
-/// Virtual seconds of each run, unless another number is asked for.
-const SECONDS: u64 = 30;
+/// The default length of each run, in virtual seconds.
+const DEFAULT_SECONDS: u64 = 30;
 
 xflags::xflags! {
     /// Runs seeded experiments with the scheduling core.
     cmd bench {
         /// The number of workers; 48, 350 and 1100 unless given.
         optional --workers count: usize
-        /// The load in percent of the processors; 60, 85 and 150 unless given.
+        /// The load in percent of the processors or accelerators; 60, 85 and 150 unless given.
         optional --load percent: f64
-        /// Virtual seconds; 30 unless given.
+        /// The length of each run in virtual seconds; 30 unless given.
         optional --seconds count: u64
         /// The seed; 1 unless given.
         optional --seed number: u64
         /// Workers on which every task fails, in percent; none unless given.
         optional --bad percent: f64
-        /// Plays gangs and single tasks with accelerators and advice instead of cores alone.
+        /// Runs gangs and single tasks that need accelerators and advice, instead of cores alone.
         optional --accelerators
-        /// Compares with waiting steps that keep no room.
+        /// Turns reservations off: waiting steps reserve no room against less urgent ones.
         optional --no-reserve
-        /// Plays each order of jobs of one queue, side by side.
+        /// Runs each order in which jobs of one queue can be considered, for comparison.
         optional --turns
         /// Prints JSON lines instead of a table.
         optional --json
@@ -33,7 +34,7 @@
 fn main() {
     let flags = Bench::from_env_or_exit();
     if !flags.json {
-        print_head();
+        print_header();
     }
     let sizes = flags
         .workers
@@ -66,12 +67,12 @@
         workers,
         load_percent,
         bad_percent: flags.bad.unwrap_or_default(),
-        length: 1_000 * flags.seconds.unwrap_or(SECONDS),
+        length: 1_000 * flags.seconds.unwrap_or(DEFAULT_SECONDS),
         seed: flags.seed.unwrap_or(1),
     }
 }
 
-fn print_head() {
+fn print_header() {
     println!(
         "{:>7} {:>5} {:>12} {:>7} {:>8} {:>18} {:>18} {:>11} {:>6} {:>15}",
         "workers",
@@ -91,7 +92,7 @@
     if json {
         match serde_json::to_string(outcome) {
             Ok(line) => println!("{line}"),
-            Err(err) => eprintln!("an outcome cannot be encoded: {err}"),
+            Err(err) => eprintln!("cannot encode an outcome: {err}"),
         }
         return;
     }
@@ -102,18 +103,18 @@
         outcome.setup.turn.name(),
         outcome.jobs,
         outcome.starts,
-        joined(&outcome.urgent_wait_ms),
-        joined(&outcome.batch_wait_ms),
+        join_with_slashes(&outcome.urgent_wait_ms),
+        join_with_slashes(&outcome.batch_wait_ms),
         outcome
             .in_time_percent
             .map(|percent| format!("{percent:.1}"))
             .join("/"),
         outcome.cores_used_percent,
-        joined(&outcome.decision_ns)
+        join_with_slashes(&outcome.decision_ns)
     );
 }
 
-fn joined(values: &[u64]) -> String {
+fn join_with_slashes(values: &[u64]) -> String {
     let texts: Vec<String> = values.iter().map(u64::to_string).collect();
     texts.join("/")
 }
--- a/src/bin/crossweird/flags.rs
+++ b/src/bin/crossweird/flags.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! The flags of the daemon.
 
 use std::path::PathBuf;
 
@@ -7,9 +7,9 @@
     cmd crossweird {
         /// The settings file; the one that the variable CROSSWEIR_CONFIG names unless given.
         optional --settings path: PathBuf
-        /// Checks the settings file and ends.
+        /// Checks the settings file and exits.
         optional --check
-        /// Runs a whole cell in this process, shows one of each kind of work and ends.
+        /// Runs a whole cell in this process, runs one job of each kind on it and exits.
         optional --embedded
     }
 }
--- a/src/bin/crossweird/main.rs
+++ b/src/bin/crossweird/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads settings, runs one node.
+//! The daemon: reads settings and runs one node.
 
 mod flags;
 mod node;
@@ -10,8 +10,9 @@
 use tokio::runtime::Runtime;
 use tokio::task::LocalSet;
 
-/// The most sockets that are taken in at a time: an owner of 1,100 workers has some 3,600.
-const MOST_EVENTS: usize = 8_192;
+/// The most I/O events that the runtime takes from the operating system at a time.  It exceeds the
+/// sockets of one process: an owner of 1,100 workers has some 3,600.
+const MAX_IO_EVENTS: usize = 8_192;
 
 fn main() -> ExitCode {
     let flags = flags::Crossweird::from_env_or_exit();
@@ -27,7 +28,7 @@
 fn run(flags: &flags::Crossweird) -> anyhow::Result<ExitCode> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .max_io_events_per_tick(MOST_EVENTS)
+        .max_io_events_per_tick(MAX_IO_EVENTS)
         .build()
         .context("cannot start the runtime")?;
     if flags.embedded {
@@ -38,8 +39,8 @@
 
 fn demonstrate(runtime: &Runtime) -> anyhow::Result<ExitCode> {
     let demonstration = embedded::demonstrate(|line| println!("{line}"));
-    let well = LocalSet::new().block_on(runtime, demonstration)?;
-    Ok(if well {
+    let succeeded = LocalSet::new().block_on(runtime, demonstration)?;
+    Ok(if succeeded {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/src/bin/crossweird/node.rs
+++ b/src/bin/crossweird/node.rs
@@ -1,4 +1,4 @@
-//! Running a node of a cell.
+//! Runs a node on the users' platform.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -24,10 +24,10 @@
 
 use crate::flags::Crossweird;
 
-/// The variable that names the settings file if the command line does not.
+/// The environment variable that names the settings file if the command line does not.
 const SETTINGS_VARIABLE: &str = "CROSSWEIR_CONFIG";
 
-/// Runs a node until it is told to end.
+/// Runs a node until the process is told to terminate; with `--check`, only checks the settings.
 pub fn run(runtime: &Runtime, flags: &Crossweird) -> anyhow::Result<ExitCode> {
     let path = settings_path(flags)?;
     let settings = Settings::load(&path)?;
@@ -36,15 +36,15 @@
         return Ok(ExitCode::SUCCESS);
     }
     let _guard = log::init_stdout(&settings.log);
-    end_on_panic();
+    abort_on_panic();
     tracing::info!(node = settings.name, hall = settings.hall, "node starts");
     LocalSet::new().block_on(runtime, serve(settings, path))?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Ends the process on any panic: a node without one of its loops would go on owning
-/// the cell, while one that is gone is replaced within a second.
-fn end_on_panic() {
+/// Makes any panic abort the process.  A node that has lost one of its loops would still own the
+/// cell, while one whose process has ended is replaced within a second.
+fn abort_on_panic() {
     std::panic::set_hook(Box::new(|info| {
         tracing::error!(%info, "panic");
         std::process::abort();
@@ -67,30 +67,33 @@
     let (ready, ready_at) = process::bind(settings.ready).await?;
     let (metrics, metrics_at) = process::bind(settings.metrics).await?;
     let (peers, peers_at) = process::bind(settings.peers).await?;
-    let own = match settings.api {
+    let api_listener = match settings.api {
         Some(address) => Some(process::bind(address).await?),
         None => None,
     };
     let token = OperatorToken::load(settings.token_file.as_deref())?;
-    let api = own.as_ref().map(|(_, address)| address.to_string());
+    let api = api_listener
+        .as_ref()
+        .map(|(_, address)| address.to_string());
     tracing::info!(callers = %callers_at, ready = %ready_at, peers = %peers_at, metrics = %metrics_at, api, "node listens");
     let node = Node::new(&settings, peers_at, |peers| links(&settings, peers))?;
     let front = node.start(peers);
-    keep_serving(ingress::serve(callers, Arc::clone(&front)));
-    keep_serving(ingress::serve_status(ready, Arc::clone(&front)));
-    keep_serving(ingress::serve_status(metrics, Arc::clone(&front)));
-    if let Some((listener, _)) = own {
-        keep_serving(server::serve(listener, Api::new(Arc::clone(&front), token)));
+    spawn_server(ingress::serve(callers, Arc::clone(&front)));
+    spawn_server(ingress::serve_status(ready, Arc::clone(&front)));
+    spawn_server(ingress::serve_status(metrics, Arc::clone(&front)));
+    if let Some((listener, _)) = api_listener {
+        spawn_server(server::serve(listener, Api::new(Arc::clone(&front), token)));
     }
     process::run_until_terminated(&front, || reload(&settings, &path)).await?;
     Ok(())
 }
 
-/// A server that ends by itself leaves the node without an interface, so the node ends.
-fn keep_serving(serving: impl Future<Output = crossweir::Result<()>> + Send + 'static) {
+/// Spawns a server.  If it ends by itself, the node lacks an interface, so a panic aborts the
+/// process.
+fn spawn_server(server: impl Future<Output = crossweir::Result<()>> + Send + 'static) {
     task::spawn(async {
-        let outcome = serving.await;
-        panic!("an interface is not served any more: {outcome:?}");
+        let outcome = server.await;
+        panic!("a server of the node has ended: {outcome:?}");
     });
 }
 
@@ -107,12 +110,17 @@
     }
 }
 
-/// Reads the settings again.  Addresses that are bound cannot change while the
-/// process lives, so a change is only told.
+/// Reads the settings again.  Bound addresses cannot change while the process runs, so a change is
+/// only logged.
 fn reload(settings: &Settings, path: &Path) {
     match Settings::load(path) {
         Ok(read) if read == *settings => tracing::info!("settings read again, unchanged"),
-        Ok(read) => tracing::warn!(?read, "settings changed; they count from the next start"),
-        Err(err) => tracing::error!(%err, "settings cannot be read; the former ones stay"),
+        Ok(read) => tracing::warn!(
+            ?read,
+            "settings changed; they take effect at the next start"
+        ),
+        Err(err) => {
+            tracing::error!(%err, "settings cannot be read; the previous ones stay in force")
+        }
     }
 }
--- a/src/embedded/store.rs
+++ b/src/embedded/store.rs
@@ -56,8 +56,8 @@
 }
 
 impl MemoryStore {
-    /// Executes a transaction without a check of its size.  It may also write tables that nodes only
-    /// read.
+    /// Executes a transaction without a check of its size.  It may also write tables that nodes
+    /// only read.
     pub fn commit(&self, tx: &Transaction) -> StoreReply {
         let mut contents = self.lock();
         let has_conflict = tx
--- a/src/experiment/load.rs
+++ b/src/experiment/load.rs
@@ -14,8 +14,8 @@
 
 /// The service of all workers.
 const SERVICE: &str = "experiment";
-/// The number of failed runs of one task at which its job fails: high enough that no job fails, even
-/// if some workers fail every task.
+/// The number of failed runs of one task at which its job fails: high enough that no job fails,
+/// even if some workers fail every task.
 const ATTEMPTS: u32 = 100;
 /// The share of arrivals that are urgent: the same as at the first two users.
 const URGENT_SHARE: f64 = 0.9;
