--- a/tests/cleaning.rs
+++ b/tests/cleaning.rs
@@ -1,4 +1,4 @@
-//! What becomes of the rows of jobs that have ended, over minutes of virtual time.
+//! Deletion of the rows of ended jobs, over minutes of virtual time.
 
 mod cell_core;
 mod virtual_node;
@@ -12,8 +12,8 @@
 use crossweir::store::{RowKey, Store, StoreCall, StoreReply, Table, Transaction, encode};
 use virtual_node::{VirtualNode, claim, virtual_node};
 
-/// How many rows a partition of a table has.
-async fn count(node: &VirtualNode, table: Table, partition: &str) -> usize {
+/// Returns the number of rows in a partition of a table.
+async fn count_rows(node: &VirtualNode, table: Table, partition: &str) -> usize {
     let call = StoreCall::List {
         table,
         partition: partition.to_owned(),
@@ -27,7 +27,7 @@
     }
 }
 
-/// An owner that finds the row of one job.
+/// Starts an owner that finds the row of one job in the store.
 async fn owner_of_one_job(node: &VirtualNode) -> Arc<Engine> {
     let row = job(1, &queue("q", 0), vec![step(1, 1_000)]);
     let mut tx = Transaction::default();
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_row_of_a_job_goes_soon_after_its_end_and_the_end_minutes_later() {
+async fn the_job_row_is_deleted_soon_after_the_end_and_the_end_minutes_later() {
     // Arrange.
     let node = virtual_node(&[]);
     let engine = owner_of_one_job(&node).await;
@@ -49,13 +49,13 @@
     engine.cancel(&job_request(1)).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
     let soon = (
-        count(&node, Table::Jobs, "j0").await,
-        count(&node, Table::Progress, "c0").await,
+        count_rows(&node, Table::Jobs, "j0").await,
+        count_rows(&node, Table::Progress, "c0").await,
         engine.state(JobId(1)).is_some(),
     );
     tokio::time::sleep(Duration::from_secs(310)).await;
     let later = (
-        count(&node, Table::Progress, "c0").await,
+        count_rows(&node, Table::Progress, "c0").await,
         engine.state(JobId(1)).is_some(),
     );
 
@@ -82,6 +82,6 @@
 
     // Assert.
     assert!(found);
-    assert_eq!(count(&node, Table::Progress, "c0").await, 0);
+    assert_eq!(count_rows(&node, Table::Progress, "c0").await, 0);
     assert_eq!(engine.state(JobId(1)), None);
 }
