--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command-line tool against a real node: what it prints and how it ends.
+//! Output and exit codes of the command-line tool against a real node.
 
 mod nodes;
 
@@ -22,11 +22,13 @@
     )
 }
 
+/// A temporary folder for the files that are passed to the tool.
 struct Files {
     folder: tempfile::TempDir,
 }
 
 impl Files {
+    /// Writes a file and returns its path.
     fn write(&self, name: &str, text: &str) -> String {
         let path: PathBuf = self.folder.path().join(name);
         std::fs::write(&path, text).expect("a file");
@@ -34,7 +36,8 @@
     }
 }
 
-fn repository(name: &str) -> String {
+/// Returns the path of a file of the repository.
+fn repository_file(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(name);
     path.display().to_string()
 }
@@ -57,8 +60,8 @@
     let bad = files.write("bad.ini", "[node]\ncolour = red\n");
     let bad_policy = files.write("bad.rhai", "#{ priority: 1 }");
     let wrong = files.write("wrong", "another");
-    let policy = repository("policies/telematics.rhai");
-    let other = repository("policies/nilescore.rhai");
+    let policy = repository_file("policies/telematics.rhai");
+    let other = repository_file("policies/nilescore.rhai");
     let id = "00000000000000a1";
 
     // Act and assert.
@@ -77,7 +80,11 @@
         (&["set-policy", &other, "0"], 6, "version_conflict"),
         (&["set-policy", &bad_policy, "0"], 3, "`spread`"),
         (&["check", &bad], 2, "[node] colour: no such key"),
-        (&["check", &repository("examples/n0.ini")], 0, "no faults"),
+        (
+            &["check", &repository_file("examples/n0.ini")],
+            0,
+            "no faults",
+        ),
     ];
     for (args, code, text) in cases {
         let (ended, printed) = run(&address, TOKEN_FILE, args);
