--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The reference pages match the code.
+//! Checks that the reference pages and the example files match the code.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -11,12 +11,13 @@
 use crossweir::node::settings::Settings;
 use crossweir::policy::Program;
 
+/// Reads a file of the repository.
 fn page(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|err| panic!("{name}: {err}"))
 }
 
-/// Every source file below a folder.
+/// Returns the paths of all Rust source files below a folder.
 fn sources(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).expect("a folder");
     let paths = entries.map(|entry| entry.expect("an entry").path());
@@ -32,7 +33,7 @@
         .collect()
 }
 
-/// The words that the code passes to calls that begin so.
+/// Returns the string literals that the code passes to calls whose text begins with `call`.
 fn words_after(call: &str) -> BTreeSet<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut words = BTreeSet::new();
@@ -60,7 +61,7 @@
     let described = page("docs/METRICS.md");
     for call in ["metrics.retry(\"", "metrics.event(\""] {
         let words = words_after(call);
-        assert!(!words.is_empty(), "{call} is looked for in vain");
+        assert!(!words.is_empty(), "no `{call}` in the sources");
         let missing: Vec<String> = words
             .into_iter()
             .filter(|word| !described.contains(&format!("`{word}`")))
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_job_of_which_only_the_state_is_known_is_not_said_to_wait_for_nothing() {
+fn an_explanation_with_only_the_state_known_does_not_claim_that_nothing_waits() {
     let view = JobView::of_state(JobId(1), JobState::Queued);
     let text = show::explain(&view);
     assert!(text.contains("could not be asked"), "{text}");
