--- a/tests/embedded.rs
+++ b/tests/embedded.rs
@@ -1,4 +1,4 @@
-//! The daemon's demonstration of a whole cell in one process.
+//! The demonstration of the daemon's flag `--embedded`: a whole cell in one process.
 
 use std::process::Command;
 
