--- a/tests/experiment.rs
+++ b/tests/experiment.rs
@@ -1,4 +1,5 @@
-//! The experiment tool's runs: seeded, and true to the rules of the core.
+//! Runs of the experiment tool: reproducible by their seed, and without violations of the core's
+//! invariants.
 
 use crossweir::experiment::{Kind, Outcome, Setup, run};
 use crossweir::policy::Turn;
@@ -30,13 +31,13 @@
 }
 
 #[test]
-fn twice_the_room_fills_the_workers_and_breaks_no_rule() {
+fn a_load_of_twice_the_capacity_fills_the_workers_and_violates_no_invariant() {
     let outcome = outcome(200.0, 0.0);
     assert_eq!(outcome.violations, 0);
     assert!(outcome.cores_used_percent > 80.0, "{outcome:?}");
 }
 
-/// Jobs in time, by queue, on workers with accelerators that are nearly full.
+/// Returns the percentage of jobs in time, by queue, on workers with accelerators at 85% load.
 fn in_time(reserves: bool) -> [f64; 2] {
     let outcome = run(&Setup {
         kind: Kind::Accelerators,
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn gangs_that_keep_room_end_in_time_more_often() {
-    let ([kept, _], [taken, _]) = (in_time(true), in_time(false));
-    assert!(kept > taken, "{kept} against {taken}");
+fn gangs_end_in_time_more_often_with_reservations() {
+    let ([reserved, _], [unreserved, _]) = (in_time(true), in_time(false));
+    assert!(reserved > unreserved, "{reserved} against {unreserved}");
 }
