--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -1,7 +1,8 @@
-//! Rows that another writer has left in the store: one that cannot be read costs only itself.
+//! Rows of other writers in the store: a row that cannot be parsed must not affect other rows.
 //!
-//! Why these figures: one row of the bytes ff fe 00 among the workers' entries made every read of that table
-//! fail, so a node that was ready and owned its cell started nothing, 66 failed reads in ten seconds.
+//! Guards against one row with the bytes ff fe 00 among the workers' entries making every read of
+//! that table fail: a node that was ready and owned its cell then started nothing, with 66 failed
+//! reads in ten seconds.
 
 mod cell_core;
 
@@ -18,7 +19,7 @@
 use tokio::net::TcpListener;
 use yare::parameterized;
 
-/// The entry of a sound worker.
+/// Returns the valid entry of a worker.
 fn entry() -> Value {
     json!({
         "service": "svc", "address": "10.0.0.9:8080", "zone": "north", "version": "v1", "slots": 8,
@@ -27,7 +28,7 @@
     })
 }
 
-/// Serves one answer with these rows, whatever is asked.
+/// Starts a store that answers one request, whatever it is, with these rows.
 async fn store_with(rows: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -47,17 +48,17 @@
 }
 
 #[parameterized(
-    bytes_that_are_no_text = { json!("//4A") },
+    bytes_that_are_not_utf8 = { json!("//4A") },
     no_base64 = { json!("%%%") },
-    no_value = { json!(null) },
+    null = { json!(null) },
     another_type = { json!(7) },
 )]
 #[test_macro(tokio::test)]
-async fn a_row_that_cannot_be_read_costs_only_itself(value: Value) {
+async fn a_row_that_cannot_be_parsed_does_not_affect_other_rows(value: Value) {
     // Arrange.
-    let sound = json!({"part": "", "key": "w1", "value": "e30=", "ver": 3});
+    let valid = json!({"part": "", "key": "w1", "value": "e30=", "ver": 3});
     let foreign = json!({"part": "", "key": "w2", "value": value, "ver": 4});
-    let addr = store_with(json!([foreign, sound])).await;
+    let addr = store_with(json!([foreign, valid])).await;
     let store = PlatformStore::new(HttpClient::default(), addr);
 
     // Act.
@@ -84,13 +85,13 @@
     no_capacity = { "capacity", None },
     capacity_of_another_type = { "capacity", Some(json!("16 cores")) },
     no_address = { "address", None },
-    an_address_that_is_none = { "address", Some(json!("here")) },
+    an_invalid_address = { "address", Some(json!("here")) },
     no_service = { "service", None },
     no_labels = { "labels", None },
     labels_of_another_type = { "labels", Some(json!("a")) },
     no_zone = { "zone", None },
 )]
-fn an_entry_of_another_writer_names_no_worker(field: &str, value: Option<Value>) {
+fn an_entry_with_a_missing_or_invalid_field_is_not_a_worker(field: &str, value: Option<Value>) {
     // Arrange.
     let mut foreign = entry();
     match value {
@@ -114,7 +115,8 @@
     bench.accept(&job(7, &q, vec![step(1, 1_000)]));
     let first = bench.start_all().remove(0);
 
-    // Act: its entry cannot be read any more, another job comes, and later it can be read again.
+    // Act: its entry can no longer be parsed, another job is submitted, and later the entry can be
+    // parsed again.
     bench.cell.mark_entry_outdated("w0", bench.now);
     bench.accept(&job(8, &q, vec![step(1, 1_000)]));
     let mut meanwhile = 0;
@@ -123,18 +125,18 @@
         bench.pass(500);
         meanwhile += starts(&bench.decide()).len();
     }
-    let goes_on = bench.running[&first.to.worker].len();
+    let still_running = bench.running[&first.to.worker].len();
     bench.cell.list_worker(cell_core::worker(0), bench.now);
     let after = starts(&bench.decide()).len();
 
     // Assert.
-    assert_eq!((meanwhile, goes_on, after), (0, 1, 1));
+    assert_eq!((meanwhile, still_running, after), (0, 1, 1));
 }
 
 #[parameterized(
     absent = { None, Some(None) },
     a_whole_number = { Some(json!(1_712_599_593_000_u64)), Some(Some(1_712_599_593_000)) },
-    nothing = { Some(json!(null)), None },
+    null = { Some(json!(null)), None },
     a_fraction = { Some(json!(1.5)), None },
     negative = { Some(json!(-1)), None },
     a_text = { Some(json!("1712599593000")), None },
