--- a/tests/front.rs
+++ b/tests/front.rs
@@ -1,4 +1,4 @@
-//! How long callers are kept waiting.
+//! How long a node's frontend keeps callers waiting when the store is slow or unavailable.
 
 mod cell_core;
 mod virtual_node;
@@ -19,8 +19,8 @@
 use tokio::time::Instant;
 use virtual_node::{Relay, VirtualNode, virtual_node};
 
-/// What the caller has left, in milliseconds.
-const LEFT: u64 = 900;
+/// The time that the caller has left, in milliseconds.
+const REMAINING: u64 = 900;
 
 fn spec() -> JobSpec {
     JobSpec {
@@ -29,6 +29,7 @@
     }
 }
 
+/// Returns the frontend of a node whose store never answers.
 fn front_with_a_silent_store() -> Frontend {
     let node = virtual_node(&[]);
     node.faulty_store.silent.store(true, Ordering::Relaxed);
@@ -36,7 +37,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_learns_in_time_that_its_job_may_not_be_taken() {
+async fn a_caller_learns_in_time_that_its_job_may_not_be_accepted() {
     // Arrange.
     let front = front_with_a_silent_store();
 
@@ -48,18 +49,18 @@
             &queue("q", 0),
             JobId(1),
             spec(),
-            Some(LEFT),
+            Some(REMAINING),
         )
         .await;
 
     // Assert.
     assert_eq!(outcome, SubmitOutcome::Doubtful);
-    assert!(began.elapsed().as_millis() < u128::from(LEFT / 2));
+    assert!(began.elapsed().as_millis() < u128::from(REMAINING / 2));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_caller_waits_longer_for_a_store_that_is_slow_and_answers() {
-    // Arrange: a store that takes 1.1 s for each answer, as the node has seen.
+    // Arrange: a store that takes 1.1 s for each answer, and a node that has measured that.
     let node = virtual_node(&[]);
     node.faulty_store.delay.store(1_100, Ordering::Relaxed);
     let front = Arc::new(Frontend::new(node.shared));
@@ -71,7 +72,7 @@
     });
     let _ = earlier.await;
 
-    // Act: the caller has 2 s, of which 45% are less than an answer takes.
+    // Act: the caller has 2 s left; 45% of that is less than an answer takes.
     let outcome = front
         .submit(
             &Caller::Anonymous,
@@ -90,9 +91,11 @@
 async fn a_caller_learns_in_time_that_a_state_cannot_be_told() {
     let front = front_with_a_silent_store();
     let began = Instant::now();
-    let told = front.state(&Caller::Anonymous, JobId(1), Some(LEFT)).await;
-    assert_eq!(told, JobAnswer::Unavailable);
-    assert!(began.elapsed().as_millis() < u128::from(LEFT / 2));
+    let answer = front
+        .state(&Caller::Anonymous, JobId(1), Some(REMAINING))
+        .await;
+    assert_eq!(answer, JobAnswer::Unavailable);
+    assert!(began.elapsed().as_millis() < u128::from(REMAINING / 2));
 }
 
 #[tokio::test(start_paused = true)]
@@ -119,8 +122,9 @@
     assert_eq!(outcome, SubmitOutcome::Accepted);
 }
 
-/// Whether a job is accepted while the store takes 600 ms for each answer, at the last by
-/// name of so many nodes, and how many rows were handed to others.
+/// Submits a job while the store takes 600 ms for each answer, at a node that comes after `others`
+/// peers in the order of names.  Returns the outcome, and how many job rows peers were asked to
+/// write.
 async fn submit_to_slow_store(others: u16) -> (SubmitOutcome, usize) {
     let node = virtual_node(&vec![Relay::Works; usize::from(others)]);
     for number in 1..=others {
@@ -146,16 +150,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_many_nodes_some_write_for_all_while_the_store_is_slow() {
+async fn in_a_large_cell_some_nodes_write_for_all_while_the_store_is_slow() {
     assert_eq!(submit_to_slow_store(12).await, (SubmitOutcome::Accepted, 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn few_nodes_write_for_themselves_while_the_store_is_slow() {
+async fn in_a_small_cell_each_node_writes_for_itself_while_the_store_is_slow() {
     assert_eq!(submit_to_slow_store(11).await, (SubmitOutcome::Accepted, 0));
 }
 
-/// In which partitions rows of jobs lie, with how many.
+/// Returns the number of job rows in each partition that has any.
 async fn rows_by_partition(node: &VirtualNode) -> BTreeMap<String, usize> {
     let mut found = BTreeMap::new();
     for partition in (0..JOB_PARTITIONS).map(job_partition) {
@@ -177,7 +181,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_slow_store_gets_jobs_in_partitions_that_no_other_node_uses() {
-    // Arrange: the first by name of four nodes, and a store that takes 600 ms.
+    // Arrange: the first of four nodes in the order of names, and a store that takes 600 ms.
     let node = virtual_node(&[]);
     for name in ["n1", "n2", "n3"] {
         node.shared.apply_heartbeat(&Heartbeat {
@@ -189,7 +193,8 @@
     node.faulty_store.delay.store(600, Ordering::Relaxed);
     let front = Arc::new(Frontend::new(Arc::clone(&node.shared)));
 
-    // Act: jobs come every 50 ms; those of the first 100 ms cannot know how slow it is.
+    // Act: a job is submitted every 50 ms.  During the first 100 ms the node cannot know yet that
+    // the store is slow.
     for id in 0..40 {
         let front = Arc::clone(&front);
         tokio::spawn(async move {
@@ -209,7 +214,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_goes_by_another_node_when_the_store_is_silent_to_this_one() {
+async fn a_job_is_written_through_a_peer_when_the_store_does_not_answer_this_node() {
     // Arrange.
     let node = virtual_node(&[Relay::Works]);
     node.hear_peer();
@@ -232,8 +237,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn while_the_store_is_away_a_job_is_refused_at_once_whatever_is_in_doubt() {
-    // Arrange: writes hang in a store that has gone silent, and the node has noticed.
+async fn a_job_is_refused_at_once_while_the_store_is_unavailable_and_other_writes_hang() {
+    // Arrange: writes hang since the store no longer answers, and the node has noticed that.
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
     node.faulty_store.silent.store(true, Ordering::Relaxed);
@@ -264,7 +269,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_doubt_is_told_at_once_when_no_way_to_the_store_is_left() {
+async fn a_doubtful_outcome_is_reported_at_once_when_no_route_to_the_store_works() {
     // Arrange.
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
