--- a/tests/hall_rows.rs
+++ b/tests/hall_rows.rs
@@ -1,4 +1,4 @@
-//! Which halls are evacuated, as a node reads it from the operator's rows.
+//! How a node learns from the operator's rows which data halls are evacuated.
 
 mod virtual_node;
 
@@ -14,8 +14,8 @@
 use crossweir::store::{RowKey, Table, Transaction};
 use virtual_node::{Relay, VirtualNode, claim, virtual_node_with_workers};
 
-/// What the operator writes to have a hall evacuated.
-const ORDER: &str = "{}";
+/// The value of the row that the operator writes to evacuate a hall.
+const EVACUATION: &str = "{}";
 
 fn node(relays: &[Relay]) -> VirtualNode {
     virtual_node_with_workers(
@@ -35,13 +35,14 @@
     node.store.commit(&tx);
 }
 
-fn take_back(node: &VirtualNode, hall: &str) {
+fn end_evacuation(node: &VirtualNode, hall: &str) {
     let mut tx = Transaction::default();
     tx.drops.push(key(hall));
     node.store.commit(&tx);
 }
 
-fn halls_known(node: &VirtualNode) -> Option<Vec<String>> {
+/// Returns the evacuated halls; none if the node does not know them.
+fn evacuated_halls(node: &VirtualNode) -> Option<Vec<String>> {
     let halls = node.shared.hall_rows().evacuated()?;
     Some(Halls::clone(&halls).into_iter().collect())
 }
@@ -51,46 +52,46 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_hears_of_halls_that_are_evacuated_and_taken_back() {
+async fn a_node_follows_begun_and_ended_evacuations() {
     // Arrange
     let node = node(&[]);
-    evacuate(&node, "north", ORDER);
+    evacuate(&node, "north", EVACUATION);
     tokio::spawn(configuration::follow(Arc::clone(&node.shared)));
 
     // Act
     pass(100).await;
-    let first = halls_known(&node);
-    evacuate(&node, "south", ORDER);
-    evacuate(&node, "south", ORDER);
+    let first = evacuated_halls(&node);
+    evacuate(&node, "south", EVACUATION);
+    evacuate(&node, "south", EVACUATION);
     pass(100).await;
-    let both = halls_known(&node);
-    take_back(&node, "north");
+    let both = evacuated_halls(&node);
+    end_evacuation(&node, "north");
     pass(100).await;
 
     // Assert
     assert_eq!(first.expect("it is known"), ["north"]);
     assert_eq!(both.expect("it is known"), ["north", "south"]);
-    assert_eq!(halls_known(&node).expect("it is known"), ["south"]);
+    assert_eq!(evacuated_halls(&node).expect("it is known"), ["south"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_hall_that_is_taken_back_while_the_store_is_away_is_taken_back() {
+async fn an_evacuation_that_ends_while_the_store_is_unavailable_is_ended_afterwards() {
     let node = node(&[]);
-    evacuate(&node, "north", ORDER);
+    evacuate(&node, "north", EVACUATION);
     tokio::spawn(configuration::follow(Arc::clone(&node.shared)));
     pass(100).await;
 
     node.faulty_store.unavailable.store(true, Ordering::Relaxed);
     pass(3_000).await;
-    take_back(&node, "north");
-    let away = halls_known(&node);
+    end_evacuation(&node, "north");
+    let during_outage = evacuated_halls(&node);
     node.faulty_store
         .unavailable
         .store(false, Ordering::Relaxed);
     pass(1_000).await;
 
-    assert_eq!(away.expect("it is known"), ["north"]);
-    assert_eq!(halls_known(&node).expect("it is known").len(), 0);
+    assert_eq!(during_outage.expect("it is known"), ["north"]);
+    assert_eq!(evacuated_halls(&node).expect("it is known").len(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -107,27 +108,27 @@
 
     // Act
     node.faulty_store.unavailable.store(true, Ordering::Relaxed);
-    evacuate(&node, "north", ORDER);
+    evacuate(&node, "north", EVACUATION);
     for _ in 0..10 {
         node.hear_peer();
         pass(300).await;
     }
 
     // Assert
-    assert_eq!(halls_known(&node).expect("it is known"), ["north"]);
+    assert_eq!(evacuated_halls(&node).expect("it is known"), ["north"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn rows_that_cannot_be_read_change_nothing_and_are_told_of_once() {
+async fn rows_that_cannot_be_parsed_change_nothing_and_are_reported_once() {
     // Arrange
     let node = node(&[]);
-    evacuate(&node, "north", ORDER);
+    evacuate(&node, "north", EVACUATION);
     let mut tx = Transaction::default();
     for number in 0..10_000 {
         tx.puts
             .push((key(&format!("hall-{number}")), String::new()));
     }
-    tx.puts.push((key(""), ORDER.to_owned()));
+    tx.puts.push((key(""), EVACUATION.to_owned()));
     node.store.commit(&tx);
 
     // Act
@@ -138,7 +139,7 @@
     halls::read(&node.shared).await.expect("the store answers");
 
     // Assert
-    assert_eq!(halls_known(&node).expect("it is known"), ["north"]);
+    assert_eq!(evacuated_halls(&node).expect("it is known"), ["north"]);
     let metrics = node.shared.render_metrics().expect("metrics");
     assert!(metrics.contains("unreadable_evacuation\"} 2"), "{metrics}");
 }
@@ -151,5 +152,5 @@
     tokio::spawn(configuration::follow(Arc::clone(&node.shared)));
     pass(1_000).await;
 
-    assert_eq!(halls_known(&node), None);
+    assert_eq!(evacuated_halls(&node), None);
 }
