--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -1,4 +1,5 @@
-//! The client tells a call that was not sent from one that may have been.
+//! The HTTP client: its errors say whether a request may have been sent, and answers that arrived
+//! while the process was stalled are not lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,19 +12,19 @@
 use tokio::task::JoinHandle;
 use volo_http::http::Method;
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-async fn call(address: std::net::SocketAddr) -> Result<(), CallError> {
+async fn call(address: SocketAddr) -> Result<(), CallError> {
     let url = format!("http://{address}/");
     let answer = HttpClient::new()
-        .call(Method::POST, &url, &[], b"body".to_vec(), LIMIT)
+        .call(Method::POST, &url, &[], b"body".to_vec(), TIMEOUT)
         .await;
     answer.map(|_| ())
 }
 
 #[tokio::test]
 async fn a_refused_connection_proves_that_nothing_was_sent() {
-    // Arrange: a port that was free a moment ago.
+    // Arrange: a port on which nothing listens any more.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
@@ -33,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_closes_after_the_request_leaves_it_open_whether_it_ran() {
+async fn a_call_whose_connection_closes_after_the_request_is_reported_as_unanswered() {
     // Arrange.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -51,7 +52,7 @@
     assert_eq!(answer, Err(CallError::Unanswered));
 }
 
-/// What a server has seen, and whether it answers yet.
+/// The counters of a server, and the switch that lets it answer.
 #[derive(Default)]
 struct Gate {
     received: AtomicUsize,
@@ -59,8 +60,8 @@
     answered: AtomicUsize,
 }
 
-/// A server with a thread of its own, which answers once its gate is open.
-fn server_beside() -> (SocketAddr, Arc<Gate>) {
+/// Starts a server on a thread of its own, which answers once its gate is open.
+fn start_gated_server() -> (SocketAddr, Arc<Gate>) {
     let gate = Arc::<Gate>::default();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -85,7 +86,7 @@
     while stream.read(&mut buf).await.is_ok_and(|read| read > 0) {
         gate.received.fetch_add(1, Ordering::SeqCst);
         while !gate.open.load(Ordering::SeqCst) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
         if stream.write_all(answer).await.is_err() {
@@ -95,24 +96,24 @@
     }
 }
 
-/// How often a count is looked at.
-const POLL: Duration = Duration::from_millis(5);
+/// The pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// More calls than events of sockets that the runtime takes in at a time.
+/// The number of calls: more than the 1,024 socket events that the runtime processes at a time.
 const CALLS: usize = 1_500;
 
-/// Calls to a server that does not answer yet, each of which has reached it.
-struct Waiting {
+/// Calls that have all reached a server which does not answer yet.
+struct PendingCalls {
     gate: Arc<Gate>,
-    limit: Duration,
+    timeout: Duration,
     began: Instant,
     calls: Vec<JoinHandle<Result<(), CallError>>>,
 }
 
-/// Sends the calls; none if one of them was overdue before all had reached the server, as on a
-/// machine that is busy with other things.
-async fn waiting_calls(limit: Duration) -> Option<Waiting> {
-    let (address, gate) = server_beside();
+/// Sends the calls with this timeout.  Returns none if one of them timed out before all had
+/// reached the server, as happens on a busy machine.
+async fn send_calls(timeout: Duration) -> Option<PendingCalls> {
+    let (address, gate) = start_gated_server();
     let client = HttpClient::with_limits(Limits {
         per_host: CALLS,
         total: CALLS,
@@ -123,65 +124,71 @@
         .map(|_| {
             let (client, url) = (client.clone(), url.clone());
             tokio::spawn(async move {
-                let answer = client.call(Method::POST, &url, &[], b"x".to_vec(), limit);
+                let answer = client.call(Method::POST, &url, &[], b"x".to_vec(), timeout);
                 answer.await.map(drop)
             })
         })
         .collect();
     while gate.received.load(Ordering::SeqCst) < CALLS {
-        if began.elapsed() >= limit || calls.iter().any(JoinHandle::is_finished) {
+        if began.elapsed() >= timeout || calls.iter().any(JoinHandle::is_finished) {
             return None;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Some(Waiting {
+    Some(PendingCalls {
         gate,
-        limit,
+        timeout,
         began,
         calls,
     })
 }
 
+/// Guards against calls that time out although their answers wait in the sockets: after a stall the
+/// runtime handles all expired timers, but only some of the ready sockets.
 #[tokio::test]
-async fn answers_that_came_while_the_process_stood_still_count() {
-    // Arrange: many calls have reached a server that does not answer yet, however long that takes.
-    let mut limit = Duration::from_secs(6);
-    let waiting = loop {
-        if let Some(waiting) = waiting_calls(limit).await {
-            break waiting;
+async fn answers_that_arrived_during_a_stall_of_the_process_are_not_lost() {
+    // Arrange: all calls have reached a server that does not answer yet.  The timeout is doubled
+    // until that succeeds.
+    let mut timeout = Duration::from_secs(6);
+    let pending = loop {
+        if let Some(pending) = send_calls(timeout).await {
+            break pending;
         }
-        limit *= 2;
-        assert!(limit < Duration::from_secs(100), "the calls do not arrive");
+        timeout *= 2;
+        assert!(
+            timeout < Duration::from_secs(100),
+            "the calls do not reach the server"
+        );
     };
-    let Waiting { gate, began, .. } = &waiting;
+    let PendingCalls { gate, began, .. } = &pending;
 
-    // Act: the process stands still until all answers are there and all calls are overdue.
+    // Act: the runtime is stalled until all answers have arrived and all calls are overdue.
     gate.open.store(true, Ordering::SeqCst);
     while gate.answered.load(Ordering::SeqCst) < CALLS {
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    let overdue = waiting.limit + Duration::from_secs(1);
+    let overdue = pending.timeout + Duration::from_secs(1);
     std::thread::sleep(overdue.saturating_sub(began.elapsed()));
 
     // Assert.
     let mut lost = 0;
-    for call in waiting.calls {
+    for call in pending.calls {
         lost += usize::from(call.await.expect("it ran").is_err());
     }
-    assert_eq!(lost, 0, "of {CALLS} answers that were there");
+    assert_eq!(lost, 0, "of {CALLS} answers that had arrived");
 }
 
 #[tokio::test]
-async fn a_call_without_an_answer_ends_in_time_though_others_stood_still() {
+async fn a_call_that_is_never_answered_times_out() {
     // Arrange.
-    let (address, _gate) = server_beside();
+    let (address, _gate) = start_gated_server();
     let client = HttpClient::new();
     let url = format!("http://{address}/");
-    let limit = Duration::from_millis(100);
+    let timeout = Duration::from_millis(100);
 
     // Act.
     let began = Instant::now();
-    let answer = client.call(Method::POST, &url, &[], b"x".to_vec(), limit);
+    let answer = client.call(Method::POST, &url, &[], b"x".to_vec(), timeout);
     let answer = answer.await.map(drop);
 
     // Assert: the server never answers.
