--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,6 +1,7 @@
-//! Callers are let in by their keys, at each interface of a node, against the stand-in.
+//! Authentication of callers by API key, at each interface of a node, against the platform
+//! stand-in.
 //!
-//! The pattern: keys come and go while callers keep their connections and nodes lose the store.
+//! Keys are added and revoked while callers keep their connections and nodes lose the store.
 
 mod nodes;
 
@@ -11,6 +12,7 @@
 
 const JOB: &str = "/plain/00000000000000a1";
 
+/// Returns the part of a configuration that describes the workspaces; `keys` are those of `team`.
 fn tenants(keys: &[&str]) -> Value {
     json!([
         {"name": "team", "api_keys": keys, "weight": 2, "cap": {"cpu": 4_000}},
@@ -22,7 +24,8 @@
     format!("Bearer {key}")
 }
 
-/// The status of a call for callers, and whether its answer says how to name oneself.
+/// Calls the interface for callers.  Returns the status, and whether the response has the header
+/// that asks for a key.
 async fn ask(node: &Node, method: Method, path: &str, key: Option<&str>) -> (StatusCode, bool) {
     let body = match method {
         Method::POST => job(1, 30_000),
@@ -41,6 +44,7 @@
     )
 }
 
+/// Repeats a call until its status is `wanted`.
 async fn until_status(
     node: &Node,
     method: Method,
@@ -54,7 +58,7 @@
     .await;
 }
 
-/// Two nodes that both know of a job of the workspace whose key is `k1`.
+/// Starts two nodes that both know a job of the workspace `team`, whose key is `k1`.
 async fn two_nodes_with_a_job() -> (StandIn, Vec<Node>) {
     let platform = StandIn::start(1).await;
     platform.configure_tenants(2, &tenants(&["k1"]));
