--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! Nodes as real processes against a stand-in that speaks the platform's protocol.
+//! Nodes as separate processes against a stand-in that speaks the platform's protocol.
 
 mod nodes;
 
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn the_owners_death_costs_no_task() {
+async fn no_task_is_lost_when_the_owner_is_killed() {
     let platform = StandIn::start(2).await;
     let mut nodes = start_ready(&platform, &["n1", "n2", "n3"]).await;
     submit(&nodes[1], "/plain/00000000000000b1", &job(8, 1_500)).await;
@@ -34,7 +34,11 @@
     let owner = owner_among(&nodes).await;
     drop(nodes.remove(owner));
     until_state(&nodes[0], "/plain/00000000000000b1", "succeeded").await;
-    assert_eq!(platform.started().len(), 8, "what ran was taken over");
+    assert_eq!(
+        platform.started().len(),
+        8,
+        "the successor takes the running tasks over"
+    );
     assert_single_runs(&platform);
 }
 
@@ -64,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn without_the_store_a_job_is_refused_with_when_to_come_back() {
+async fn a_job_refused_without_the_store_is_answered_with_retry_after() {
     let platform = StandIn::start(1).await;
     let nodes = start_ready(&platform, &["n1", "n2"]).await;
     platform.set_store_fault(StoreFault::Busy);
@@ -79,14 +83,11 @@
         answer.is_ok_and(|answer| answer.status == StatusCode::GONE)
     })
     .await;
-    assert!(
-        platform.started().is_empty(),
-        "what was refused does not run"
-    );
+    assert!(platform.started().is_empty(), "a refused job does not run");
 }
 
 #[tokio::test]
-async fn a_lost_reply_leaves_it_open_and_the_job_runs_once() {
+async fn a_job_whose_write_lost_its_reply_runs_once() {
     let platform = StandIn::start(1).await;
     let nodes = start_ready(&platform, &["n1"]).await;
     platform.set_store_fault(StoreFault::LostReplies);
@@ -96,7 +97,7 @@
         assert_eq!(
             answer.status,
             StatusCode::GATEWAY_TIMEOUT,
-            "it may have been taken"
+            "the job may have been accepted"
         );
     }
     platform.set_store_fault(StoreFault::None);
@@ -115,8 +116,8 @@
     let number = usize::from(first == "w1");
     platform.crash_worker(number);
     until_state(&nodes[0], "/plain/0000000000000101", "succeeded").await;
-    let again = platform.started().split_off(2);
-    assert!(again.iter().all(|started| started.worker != first));
+    let restarted = platform.started().split_off(2);
+    assert!(restarted.iter().all(|started| started.worker != first));
 }
 
 #[tokio::test]
@@ -225,7 +226,7 @@
 
 #[tokio::test]
 async fn an_end_is_shown_while_the_store_is_away_and_outlives_its_owner() {
-    // Arrange: a job ends while the store takes nothing.
+    // Arrange: a job ends while the store refuses all calls.
     let platform = StandIn::start(1).await;
     let mut nodes = start_ready(&platform, &["n1", "n2", "n3"]).await;
     let path = "/plain/0000000000000021";
@@ -241,7 +242,7 @@
     platform.add_worker().await;
     platform.set_store_fault(StoreFault::None);
 
-    // Assert: a successor, which can ask neither the former owner nor the worker.
+    // Assert: the successor can ask neither the former owner nor the worker.
     until("another node owns the cell", || async {
         find_owner(&nodes).await.is_some()
     })
@@ -252,13 +253,13 @@
 
 #[tokio::test]
 async fn what_ends_on_a_worker_that_has_started_again_under_its_id_is_not_run_again() {
-    // Arrange: the former life has ended more tasks than the next one will.
+    // Arrange: more tasks end in the worker's former life than in its next one.
     let platform = StandIn::start(1).await;
     let nodes = start_ready(&platform, &["n1"]).await;
     submit(&nodes[0], "/plain/0000000000000031", &job(12, 100)).await;
     until_state(&nodes[0], "/plain/0000000000000031", "succeeded").await;
 
-    // Act: it is away for a moment, which is less than its lease.
+    // Act: the worker is down for 200 ms, which is less than its lease.
     platform.crash_worker(0);
     tokio::time::sleep(Duration::from_millis(200)).await;
     platform.restart_worker(0);
