--- a/tests/nodes/mod.rs
+++ b/tests/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures for tests of nodes as real processes against the stand-in.
+//! Fixtures for tests that run nodes as separate processes against the platform stand-in.
 #![allow(dead_code)]
 
 #[path = "../../platform/standin/mod.rs"]
@@ -14,13 +14,16 @@
 use standin::{HOST, StandIn};
 use volo_http::http::{Method, StatusCode};
 
-/// The token of operators, which a file of the repository holds.
+/// The file of the repository that holds the operators' token.
 pub const TOKEN_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/token");
 
-/// How long a condition is polled before the test fails: far beyond any takeover.
-const PATIENCE: Duration = Duration::from_secs(40);
-const POLL: Duration = Duration::from_millis(20);
+/// How long a condition is polled before the test fails.  A takeover of the cell by another node
+/// takes far less.
+const POLL_TIMEOUT: Duration = Duration::from_secs(40);
+/// The pause between two checks of a polled condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// A node's process and the addresses of its listeners.  The process is killed on drop.
 pub struct Node {
     pub child: Child,
     pub callers: SocketAddr,
@@ -38,7 +41,7 @@
 }
 
 impl Node {
-    /// Sends a signal to the process, which this test has started.
+    /// Sends `signal`, an argument of `kill` such as `-TERM`, to the node's process.
     pub fn signal(&self, signal: &str) {
         let status = Command::new("kill")
             .args([signal, &self.child.id().to_string()])
@@ -47,7 +50,7 @@
     }
 }
 
-/// Starts a node on ports that the kernel gives, which the node tells in its log.
+/// Starts a node on ports that the kernel assigns; the addresses are read from the node's log.
 pub fn start_node(platform: &StandIn, name: &str) -> Node {
     let mut settings = tempfile::NamedTempFile::new().expect("a file for settings");
     let any = "127.0.0.1:0";
@@ -88,6 +91,7 @@
     }
 }
 
+/// Starts nodes with these names and waits until all of them are ready.
 pub async fn start_ready(platform: &StandIn, names: &[&str]) -> Vec<Node> {
     let nodes: Vec<Node> = names
         .iter()
@@ -103,6 +107,7 @@
     nodes
 }
 
+/// Polls `condition` until it holds, and panics with `what` after `POLL_TIMEOUT`.
 pub async fn until<F, C>(what: &str, mut condition: C)
 where
     C: FnMut() -> F,
@@ -110,15 +115,16 @@
 {
     let poll = async {
         while !condition().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     assert!(
-        tokio::time::timeout(PATIENCE, poll).await.is_ok(),
-        "never: {what}"
+        tokio::time::timeout(POLL_TIMEOUT, poll).await.is_ok(),
+        "timed out waiting until {what}"
     );
 }
 
+/// Makes one HTTP call; the body is JSON, and `Value::Null` stands for no body.
 pub async fn call(
     method: Method,
     address: SocketAddr,
@@ -128,7 +134,7 @@
     call_with(method, address, path, body, &[]).await
 }
 
-/// A call with further headers.
+/// Makes one HTTP call with additional headers.
 pub async fn call_with(
     method: Method,
     address: SocketAddr,
@@ -137,11 +143,11 @@
     headers: &[(&'static str, &str)],
 ) -> Result<FullResponse, CallError> {
     let url = format!("http://{address}{path}");
-    let further = headers
+    let additional = headers
         .iter()
         .map(|(name, value)| (*name, (*value).to_owned()));
     let mut headers = vec![("host", HOST.to_owned())];
-    headers.extend(further);
+    headers.extend(additional);
     let body = if body.is_null() {
         Vec::new()
     } else {
@@ -152,28 +158,29 @@
         .await
 }
 
-/// A job with one step of tasks that each run for `ms`.
+/// Returns the body of a job with one step of `tasks` tasks that run for `ms` milliseconds each.
 pub fn job(tasks: u32, ms: u64) -> Value {
     json!({"spec": ms.to_string(), "steps": [{"count": tasks, "cpu": 1_000, "mem_mb": 100, "est_ms": ms}]})
 }
 
-/// Hands a job in until it is accepted.
-/// The place of the node that owns the cell, if one says so.
+/// Returns the index of the node whose metrics say that it owns the cell, if there is one.
 pub async fn find_owner(nodes: &[Node]) -> Option<usize> {
-    for (place, node) in nodes.iter().enumerate() {
+    for (index, node) in nodes.iter().enumerate() {
         let answer = call(Method::GET, node.metrics, "/metrics", Value::Null).await;
         let text = String::from_utf8_lossy(&answer.expect("metrics").body).into_owned();
         if text.contains("crossweir_state{what=\"owns_cell\"} 1") {
-            return Some(place);
+            return Some(index);
         }
     }
     None
 }
 
+/// Returns the index of the node that owns the cell, and panics if no node does.
 pub async fn owner_among(nodes: &[Node]) -> usize {
     find_owner(nodes).await.expect("one node owns the cell")
 }
 
+/// Submits a job again and again until it is accepted.
 pub async fn submit(node: &Node, path: &str, body: &Value) {
     until("the job is accepted", || async {
         let answer = call(Method::POST, node.callers, path, body.clone()).await;
@@ -182,6 +189,7 @@
     .await;
 }
 
+/// Returns the state of the job at `path`, or nothing if the node does not tell one.
 pub async fn state(node: &Node, path: &str) -> Option<String> {
     let answer = call(Method::GET, node.callers, path, Value::Null)
         .await
@@ -190,6 +198,7 @@
     body["state"].as_str().map(str::to_owned)
 }
 
+/// Polls the state of the job at `path` until it is `wanted`.
 pub async fn until_state(node: &Node, path: &str, wanted: &str) {
     until(wanted, || async {
         state(node, path).await.as_deref() == Some(wanted)
@@ -197,11 +206,11 @@
     .await;
 }
 
-/// No two runs of one task overlap, and none begins after one that ended well.
+/// Asserts that no two runs of one task overlap and that no run begins after one that succeeded.
 pub fn assert_single_runs(platform: &StandIn) {
     let started = platform.started();
-    for (place, later) in started.iter().enumerate() {
-        for earlier in started[..place].iter().filter(|e| e.task == later.task) {
+    for (index, later) in started.iter().enumerate() {
+        for earlier in started[..index].iter().filter(|e| e.task == later.task) {
             let over = earlier.until.is_some_and(|until| until <= later.from);
             assert!(over && !earlier.done, "{earlier:?} and {later:?}");
         }
