--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,4 @@
-//! How soon a task starts elsewhere when a worker leaves an order unanswered.
+//! How soon a task is started on another worker when a start stays unanswered.
 
 mod cell_core;
 mod virtual_node;
@@ -22,25 +22,26 @@
 use futures::future::BoxFuture;
 use virtual_node::{claim, virtual_node_with_workers};
 
-/// How long the adapter waits for the answer to a start.
-const START_LIMIT: Duration = Duration::from_millis(250);
+/// How long the platform adapter waits for the answer to a start.
+const START_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Workers that leave the first start unanswered, and do not carry it out.
-struct Forgetful {
+/// Workers that ignore the first start: they neither execute nor answer it.
+struct FirstStartLost {
     inner: MemoryWorkers,
     clock: Arc<dyn Clock>,
-    forget: AtomicU32,
+    /// How many more starts are ignored.
+    to_ignore: AtomicU32,
     /// When each start was ordered.
     starts: Arc<Mutex<Vec<Millis>>>,
 }
 
-impl Workers for Forgetful {
+impl Workers for FirstStartLost {
     fn start<'a>(&'a self, order: &'a StartOrder) -> BoxFuture<'a, (StartOutcome, Option<Millis>)> {
         let now = self.clock.now();
         self.starts.lock().expect("starts").push(now);
-        if self.forget.swap(0, Ordering::Relaxed) > 0 {
+        if self.to_ignore.swap(0, Ordering::Relaxed) > 0 {
             return async {
-                tokio::time::sleep(START_LIMIT).await;
+                tokio::time::sleep(START_TIMEOUT).await;
                 (StartOutcome::Unanswered, None)
             }
             .boxed();
@@ -58,16 +59,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unanswered_start_is_settled_without_waiting_for_the_next_turn() {
-    // Arrange: two idle workers, at which looks wait for an end.
+async fn an_unanswered_start_is_resolved_without_waiting_for_the_next_regular_poll() {
+    // Arrange: two idle workers, where polls are waiting for a run to end.
     let starts: Arc<Mutex<Vec<Millis>>> = Arc::default();
     let seen = Arc::clone(&starts);
     let workers = move |clock: Arc<dyn Clock>| -> Arc<dyn Workers> {
         let ids = ["w0", "w1"].map(str::to_owned);
-        Arc::new(Forgetful {
+        Arc::new(FirstStartLost {
             inner: MemoryWorkers::new(Arc::clone(&clock), ids),
             clock,
-            forget: AtomicU32::new(1),
+            to_ignore: AtomicU32::new(1),
             starts: seen,
         })
     };
@@ -98,7 +99,7 @@
     engine.accepted(&job(1, &q, vec![step(1, 1_000)]));
     tokio::time::sleep(Duration::from_secs(2)).await;
 
-    // Assert: the limit, and some turns of the loops of the owner.
+    // Assert: the time between the starts is the timeout and a few iterations of the owner's loops.
     let starts = starts.lock().expect("starts").clone();
     assert_eq!(starts.len(), 2, "{starts:?}");
     assert!(starts[1] - starts[0] < 400, "{starts:?}");
