--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -1,13 +1,14 @@
-//! How an owner divides its time between deciding and carrying out.
+//! The pause between scheduling rounds, which leaves the owner time to carry out their orders.
 
 use std::time::Duration;
 
 use crossweir::node::pace;
 use yare::parameterized;
 
-/// An owner in a burst of urgent jobs decided for almost half of its time and carried out too little.
+/// Guards against an owner that spends almost half of its time on scheduling rounds during a burst
+/// of urgent jobs, so that too few of their orders are carried out.
 #[test]
-fn deciding_takes_no_more_than_a_quarter_of_the_time() {
+fn rounds_take_at_most_a_quarter_of_the_time() {
     for round in [1, 3, 12].map(Duration::from_millis) {
         let pause = pace::pause_after(round);
 
@@ -16,7 +17,8 @@
     }
 }
 
-/// A round that once takes long, as after a pause of the process, must not hold up urgent jobs.
+/// Guards against a single long round, as after a stall of the process, being followed by a pause
+/// that delays urgent jobs.
 #[parameterized(
     long = { 40 },
     of_a_process_that_stood_still = { 200 },
