--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -1,9 +1,9 @@
-//! The limit for answers of the store follows the answers that come.
+//! The timeout for answers of the store, which follows the latency of the answers that arrive.
 
 use crossweir::node::store_latency::{MAX_TIMEOUT, MIN_TIMEOUT, StoreLatency};
 
 #[test]
-fn a_fast_store_is_given_up_on_soon() {
+fn a_fast_store_gets_the_minimum_timeout() {
     let mut latency = StoreLatency::default();
     for _ in 0..20 {
         latency.note_answer(7, 0);
@@ -12,25 +12,25 @@
 }
 
 #[test]
-fn a_store_that_turned_slow_is_waited_for_after_a_few_tries() {
+fn after_two_timeouts_the_timeout_covers_the_latency_of_a_slow_store() {
     let mut latency = StoreLatency::default();
     for _ in 0..20 {
         latency.note_answer(7, 0);
     }
-    let tries = (0..).take_while(|_| {
+    let timeouts = (0..).take_while(|_| {
         let short = latency.timeout() < 700;
         if short {
             latency.note_timeout();
         }
         short
     });
-    assert_eq!(tries.count(), 2, "200, 400 and then 800 ms");
+    assert_eq!(timeouts.count(), 2, "200, 400 and then 800 ms");
     latency.note_answer(700, 0);
     assert_eq!(latency.timeout(), MAX_TIMEOUT);
 }
 
 #[test]
-fn single_lost_replies_raise_the_limit_only_for_a_while() {
+fn single_lost_replies_raise_the_timeout_only_for_a_while() {
     let mut latency = StoreLatency::default();
     for _ in 0..40 {
         latency.note_answer(7, 0);
@@ -48,7 +48,7 @@
     latency.note_sent(1_000);
     latency.note_answer(7, 1_007);
     latency.note_finished();
-    assert!(!latency.is_slow(5_000), "nothing is on its way");
+    assert!(!latency.is_slow(5_000), "nothing is in flight");
 
     latency.note_sent(5_000);
 
