--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! What a policy program decides, and how the core follows it.
+//! Policy programs: which ones are accepted, and how the scheduling core applies their decisions.
 
 mod cell_core;
 
@@ -12,7 +12,8 @@
 use crossweir::policy::{Program, ProgramError, ProgramPolicy};
 use yare::parameterized;
 
-fn programmed(source: &str) -> Arc<ProgramPolicy> {
+/// Compiles a policy program.
+fn program(source: &str) -> Arc<ProgramPolicy> {
     Arc::new(ProgramPolicy(
         Program::parse_and_test(source).expect("a policy"),
     ))
@@ -36,14 +37,14 @@
 
 #[test]
 fn a_policy_orders_jobs_that_wait_already() {
-    // Arrange: one worker, and two jobs of which either fills it.
+    // Arrange: one worker, and two jobs that each need all of it.
     let (first, second) = (queue("first", 0), queue("second", 0));
     let mut bench = Bench::new(1, &[first.clone(), second.clone()]);
     bench.accept(&job(1, &first, vec![step(1, 16_000)]));
     bench.accept(&job(2, &second, vec![step(1, 16_000)]));
 
     // Act.
-    bench.cell.set_policy(programmed(
+    bench.cell.set_policy(program(
         "#{ priority: if queue == \"second\" { 0 } else { 1 }, spread: false }",
     ));
     let started = starts(&bench.decide());
@@ -58,7 +59,7 @@
     // Arrange.
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
-    bench.cell.set_policy(programmed(
+    bench.cell.set_policy(program(
         "#{ priority: 0, spread: false, quota_millicores: 5000 }",
     ));
     bench.accept(&job(1, &q, vec![step(4, 2_000)]));
@@ -79,10 +80,10 @@
 }
 
 #[test]
-fn a_gang_waits_whole_for_its_quota() {
+fn a_gang_that_exceeds_its_quota_starts_no_task() {
     let q = queue("q", 0);
     let mut bench = Bench::new(2, std::slice::from_ref(&q));
-    bench.cell.set_policy(programmed(
+    bench.cell.set_policy(program(
         "#{ priority: 0, spread: false, quota_millicores: 3000 }",
     ));
     let mut gang = step(2, 2_000);
@@ -93,10 +94,10 @@
 
 #[test]
 fn where_a_policy_fails_the_queues_own_priority_decides() {
-    // Arrange: a program that is accepted, and fails for one queue.
+    // Arrange: a program that is accepted and fails for one queue only.
     let (bad, good) = (queue("bad", 1), queue("good", 0));
     let mut bench = Bench::new(1, &[bad.clone(), good.clone()]);
-    bench.cell.set_policy(programmed(
+    bench.cell.set_policy(program(
         "if queue == \"bad\" { throw 1 } #{ priority: 5, spread: false }",
     ));
 
@@ -109,12 +110,12 @@
     assert_eq!(started[0].task.step.job, JobId(2), "1 goes before 5");
 }
 
-/// The jobs of which tasks start beside a half full worker, after a job that needs all of it
-/// and one that needs a quarter for longer.
-fn started_beside_a_wide_job(policy: &str) -> Vec<JobId> {
+/// Returns the jobs that start on a half full worker while an urgent job waits for the whole worker
+/// and a later job needs a quarter of it for a longer time.
+fn started_beside_a_full_size_job(policy: &str) -> Vec<JobId> {
     let (urgent, later) = (queue("urgent", 1), queue("later", 2));
     let mut bench = Bench::new(1, &[urgent.clone(), later.clone()]);
-    bench.cell.set_policy(programmed(policy));
+    bench.cell.set_policy(program(policy));
     bench.accept(&job(1, &later, vec![step(1, 8_000)]));
     bench.start_all();
     bench.accept(&job(2, &urgent, vec![step(1, 16_000)]));
@@ -128,10 +129,10 @@
 }
 
 #[parameterized(
-    kept = { "#{ priority: queue_priority, spread: false }", &[] },
-    not_kept = { "#{ priority: queue_priority, spread: false, reserve: false }", &[3] },
+    reserved = { "#{ priority: queue_priority, spread: false }", &[] },
+    not_reserved = { "#{ priority: queue_priority, spread: false, reserve: false }", &[3] },
 )]
-fn a_policy_says_whether_waiting_jobs_keep_room(policy: &str, jobs: &[u64]) {
+fn a_policy_says_whether_room_is_reserved_for_waiting_jobs(policy: &str, jobs: &[u64]) {
     let jobs: Vec<JobId> = jobs.iter().copied().map(JobId).collect();
-    assert_eq!(started_beside_a_wide_job(policy), jobs);
+    assert_eq!(started_beside_a_full_size_job(policy), jobs);
 }
