--- a/tests/roster_rows.rs
+++ b/tests/roster_rows.rs
@@ -1,4 +1,4 @@
-//! The rows in which the roster lies: short enough for the store, written when they change.
+//! The rows of the roster in the store: of bounded size, and written only when they change.
 
 mod cell_core;
 
@@ -13,12 +13,12 @@
 };
 use yare::parameterized;
 
-/// The workers of a large cell.
+/// The number of workers in a large cell.
 const MANY: u16 = 1_100;
-/// The most rows of the roster in one transaction.
-const MOST_ROWS: usize = 48;
-/// A row is not longer than this, however many workers there are.
-const LONG_ROW: usize = 17_000;
+/// The maximum number of roster rows in one transaction.
+const MAX_ROWS: usize = 48;
+/// The maximum length of a row in bytes, however many workers there are.
+const MAX_ROW_LENGTH: usize = 17_000;
 
 fn entries(count: u16, jobs: Option<Vec<JobId>>) -> Vec<RosterEntry> {
     let entry = |number| RosterEntry {
@@ -30,8 +30,8 @@
     (0..count).map(entry).collect()
 }
 
-/// What changes if all these workers come into the roster.
-fn changes(entries: &[RosterEntry]) -> Vec<RosterChange> {
+/// Returns the changes that add these entries to the roster.
+fn additions(entries: &[RosterEntry]) -> Vec<RosterChange> {
     let change = |entry: &RosterEntry| RosterChange {
         id: entry.worker.life.id.clone(),
         entry: Some(entry.clone()),
@@ -39,20 +39,20 @@
     entries.iter().map(change).collect()
 }
 
-/// What changes if this worker leaves the roster.
-fn gone(entry: &RosterEntry) -> RosterChange {
+/// Returns the change that removes this worker from the roster.
+fn removal(entry: &RosterEntry) -> RosterChange {
     RosterChange {
         id: entry.worker.life.id.clone(),
         entry: None,
     }
 }
 
-/// Writes all that has changed, and tells how many rows were written and dropped, and in how many
+/// Writes all changed rows.  Returns how many rows were written and dropped, and in how many
 /// transactions.
 async fn write(store: &MemoryStore, rows: &mut RosterRows) -> (usize, usize, usize) {
     let (mut puts, mut drops, mut transactions) = (0, 0, 0);
     while !rows.is_written() {
-        let write = rows.next_write(MOST_ROWS);
+        let write = rows.next_write(MAX_ROWS);
         let tx = Transaction {
             puts: write.puts.clone(),
             drops: write.drops.clone(),
@@ -101,7 +101,7 @@
     let entries = entries(workers, None);
 
     let mut rows = RosterRows::default();
-    rows.apply(changes(&entries));
+    rows.apply(additions(&entries));
     write(&store, &mut rows).await;
 
     assert_eq!(read_sorted(&stored(&store).await), entries);
@@ -112,17 +112,18 @@
     let store = MemoryStore::default();
     let mut rows = RosterRows::default();
     let mut entries = entries(MANY, None);
-    rows.apply(changes(&entries));
+    rows.apply(additions(&entries));
     write(&store, &mut rows).await;
 
     entries[5].jobs = Some(vec![JobId(1)]);
-    rows.apply(changes(&entries));
+    rows.apply(additions(&entries));
 
     assert_eq!(write(&store, &mut rows).await, (1, 0, 1));
     assert_eq!(read_sorted(&stored(&store).await), entries);
 }
 
-/// The load: 150 of 6,000 workers leave one after the other, as when a service is released.
+/// 150 workers leave one after the other, as when a service is released, in a cell of 350 and in
+/// one of 6,000 workers.
 #[tokio::test]
 async fn what_a_change_writes_does_not_grow_with_the_cell() {
     let mut bytes = Vec::new();
@@ -130,18 +131,21 @@
         let store = MemoryStore::default();
         let entries = entries(workers, None);
         let mut rows = RosterRows::default();
-        rows.apply(changes(&entries));
+        rows.apply(additions(&entries));
         write(&store, &mut rows).await;
         let mut written = 0;
         for entry in &entries[..150] {
-            rows.apply(vec![gone(entry)]);
-            written += rows.next_write(MOST_ROWS).puts[0].1.len();
+            rows.apply(vec![removal(entry)]);
+            written += rows.next_write(MAX_ROWS).puts[0].1.len();
             write(&store, &mut rows).await;
         }
         assert_eq!(read_sorted(&stored(&store).await), entries[150..]);
         bytes.push(written / 150);
     }
-    assert!(bytes.iter().all(|bytes| *bytes <= LONG_ROW), "{bytes:?}");
+    assert!(
+        bytes.iter().all(|bytes| *bytes <= MAX_ROW_LENGTH),
+        "{bytes:?}"
+    );
 }
 
 #[tokio::test]
@@ -151,14 +155,14 @@
     let entries = entries(MANY, None);
     let mut rows = RosterRows::default();
 
-    // Act: workers come one by one, and go again.
+    // Act: the workers join one by one, and most leave again.
     for entry in &entries {
-        rows.apply(changes(std::slice::from_ref(entry)));
+        rows.apply(additions(std::slice::from_ref(entry)));
         write(&store, &mut rows).await;
     }
     let full = stored(&store).await;
     for entry in &entries[48..] {
-        rows.apply(vec![gone(entry)]);
+        rows.apply(vec![removal(entry)]);
         write(&store, &mut rows).await;
     }
     let small = stored(&store).await;
@@ -179,26 +183,27 @@
     let store = MemoryStore::default();
     let entries = entries(6_000, None);
     let mut rows = RosterRows::default();
-    rows.apply(changes(&entries));
+    rows.apply(additions(&entries));
     write(&store, &mut rows).await;
 
     let (mut rows, _) = RosterRows::read(&stored(&store).await);
-    let at_first = rows.is_written();
-    rows.apply(changes(&entries));
-    rows.apply(vec![gone(&entries[7])]);
+    let written_at_first = rows.is_written();
+    rows.apply(additions(&entries));
+    rows.apply(vec![removal(&entries[7])]);
 
-    assert!(at_first);
+    assert!(written_at_first);
     assert_eq!(write(&store, &mut rows).await, (1, 0, 1));
 }
 
-/// An owner is lost after it has written the two rows and before it could drop the one.
+/// A worker is in two rows if an owner stops after writing the halves of a split row and before
+/// dropping the row itself.  The entry that allows more jobs to be running there must count.
 #[tokio::test]
-async fn a_worker_in_two_rows_counts_by_which_more_may_run_there() {
+async fn a_worker_in_two_rows_gets_the_entry_that_allows_more_jobs() {
     // Arrange
     let store = MemoryStore::default();
     let named = entries(1, Some(vec![JobId(1)]));
     let mut rows = RosterRows::default();
-    rows.apply(changes(&named));
+    rows.apply(additions(&named));
     write(&store, &mut rows).await;
     let mut stored = stored(&store).await;
     let mut former = stored[0].clone();
@@ -214,12 +219,12 @@
 
 #[tokio::test]
 async fn a_layout_of_a_former_version_is_replaced() {
-    // Arrange: a fixed number of rows.
+    // Arrange: the former layout, with a fixed number of rows.
     let store = MemoryStore::default();
     let entries = entries(48, None);
     let mut tx = Transaction::default();
-    for (place, part) in entries.chunks(3).enumerate() {
-        let key = RowKey::new(Table::Cells, CELL_PARTITION, &format!("workers-{place:02}"));
+    for (index, part) in entries.chunks(3).enumerate() {
+        let key = RowKey::new(Table::Cells, CELL_PARTITION, &format!("workers-{index:02}"));
         tx.puts.push((key, encode(&part)));
     }
     store.commit(&tx);
@@ -236,10 +241,10 @@
 }
 
 #[tokio::test]
-async fn a_row_that_cannot_be_read_is_written_anew_and_the_others_hold() {
+async fn a_row_that_cannot_be_parsed_is_rewritten_and_the_others_are_kept() {
     let store = MemoryStore::default();
     let mut rows = RosterRows::default();
-    rows.apply(changes(&entries(48, None)));
+    rows.apply(additions(&entries(48, None)));
     write(&store, &mut rows).await;
     let mut stored = stored(&store).await;
     let lost: Vec<RosterEntry> = serde_json::from_str(&stored[0].value).expect("entries");
@@ -257,7 +262,7 @@
     let store = MemoryStore::default();
 
     let mut rows = RosterRows::default();
-    rows.apply(changes(&entries(MANY, Some(jobs))));
+    rows.apply(additions(&entries(MANY, Some(jobs))));
     write(&store, &mut rows).await;
 
     for row in stored(&store).await {
@@ -274,7 +279,7 @@
 #[tokio::test]
 async fn a_store_in_memory_rejects_what_the_platform_rejects() {
     let store = MemoryStore::default();
-    let key = crossweir::store::RowKey::new(Table::Cells, CELL_PARTITION, "long");
+    let key = RowKey::new(Table::Cells, CELL_PARTITION, "long");
     let mut tx = Transaction::default();
     tx.puts.push((key, "x".repeat(MAX_ROW_BYTES + 1)));
 
@@ -285,7 +290,7 @@
 
 #[test]
 fn a_row_of_a_former_version_is_read() {
-    // Arrange: as it was written before lives told when they started.
+    // Arrange: the format from before lives reported when they began.
     let text = r#"[{"id":"w0","address":"127.0.0.1:9000","machine":"m0","service":"svc","hall":"north",
         "capacity":{"millicores":16000,"memory":32768,"gpus":0},"labels":["a","r0"],"rack":"r0",
         "leaving":null,"jobs":null}]"#;
