--- a/tests/route.rs
+++ b/tests/route.rs
@@ -1,4 +1,4 @@
-//! How soon a node notices that its way to the store works again.
+//! How soon a node notices that its direct route to the store works again.
 
 mod virtual_node;
 
@@ -9,8 +9,9 @@
 use crossweir::store::{StoreCall, StoreError, Transaction};
 use virtual_node::{VirtualNode, virtual_node};
 
-/// A node that has lost its way to a store that says nothing, 2.3 s after the first call.
-async fn lost() -> VirtualNode {
+/// Returns a node whose store does not answer, 2.3 s after its first call; the node has noticed
+/// that it cannot reach the store directly.
+async fn node_without_route() -> VirtualNode {
     let node = virtual_node(&[]);
     tokio::spawn(Arc::clone(&node.shared).probe_store());
     node.faulty_store.silent.store(true, Ordering::Relaxed);
@@ -24,7 +25,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_store_that_was_silent_is_noticed_soon_after_its_return() {
-    let node = lost().await;
+    let node = node_without_route().await;
     node.faulty_store.silent.store(false, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_millis(260)).await;
     assert!(node.shared.reaches_store());
@@ -32,8 +33,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn calls_that_hang_are_given_up_when_the_store_is_back() {
-    // Arrange: a write hangs that may wait as long as the store may take.
-    let node = lost().await;
+    // Arrange: a write hangs whose reply is not limited by the adaptive timeout.
+    let node = node_without_route().await;
     node.faulty_store
         .unavailable
         .store(false, Ordering::Relaxed);
