--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,13 +1,15 @@
-//! Settings are checked as a whole, and every fault names its place and its rule.
+//! Checks of the settings: all faults are reported at once, each with its place and the rule that
+//! it breaks.
 
 use crossweir::Error;
 use crossweir::node::settings::Settings;
 use yare::parameterized;
 
-const GOOD: &str = "[node]\nname = n0\nhall = north\n\
+const VALID: &str = "[node]\nname = n0\nhall = north\n\
     [listen]\ncallers = 127.0.0.1:1\nready = 127.0.0.1:2\npeers = 127.0.0.1:3\nmetrics = 127.0.0.1:4\n\
     [store]\naddress = 127.0.0.1:5\n";
 
+/// Returns the messages of all faults in these settings.
 fn faults(source: &str) -> Vec<String> {
     match Settings::parse(source, "test.ini") {
         Ok(_) => Vec::new(),
@@ -18,7 +20,7 @@
 
 #[test]
 fn good_settings_are_taken_with_their_defaults() {
-    let settings = Settings::parse(GOOD, "test.ini").expect("no faults");
+    let settings = Settings::parse(VALID, "test.ini").expect("no faults");
     assert_eq!(
         (settings.name.as_str(), settings.log.as_str(), settings.api),
         ("n0", "info", None)
@@ -34,12 +36,12 @@
     bad_seed = { "[peers]\nseeds = 127.0.0.1:9,there", "test.ini: [peers] seeds: `there` is not an IP number and port" },
 )]
 fn a_fault_names_file_section_key_and_rule(added: &str, fault: &str) {
-    assert_eq!(faults(&format!("{GOOD}{added}\n")), [fault]);
+    assert_eq!(faults(&format!("{VALID}{added}\n")), [fault]);
 }
 
 #[test]
 fn two_equal_addresses_contradict_each_other() {
-    let source = GOOD.replace("metrics = 127.0.0.1:4", "metrics = 127.0.0.1:1");
+    let source = VALID.replace("metrics = 127.0.0.1:4", "metrics = 127.0.0.1:1");
     let fault = "test.ini: [listen] : two of the addresses are the same";
     assert_eq!(faults(&source), [fault]);
 }
@@ -57,7 +59,7 @@
     word = { "processors = many\n", None },
 )]
 fn processors_are_a_number_of_cores(line: &str, millicores: Option<u32>) {
-    let source = GOOD.replace("hall = north\n", &format!("hall = north\n{line}"));
+    let source = VALID.replace("hall = north\n", &format!("hall = north\n{line}"));
     let settings = Settings::parse(&source, "test.ini");
     assert_eq!(
         settings.ok().map(|settings| settings.millicores),
