--- a/tests/standin.rs
+++ b/tests/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a program: it tells where it listens, and ends when it is told to.
+//! The stand-in as a program: it prints where it listens, and exits on SIGTERM.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -6,8 +6,8 @@
 
 use serde_json::Value;
 
-/// How long the end is polled for before the test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long the test waits for the program to exit.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
 fn the_stand_in_ends_when_it_is_told_to() {
@@ -20,7 +20,7 @@
     let mut line = String::new();
     let out = child.stdout.take().expect("its output");
     BufReader::new(out).read_line(&mut line).expect("a line");
-    let told: Value = serde_json::from_str(&line).expect("JSON");
+    let printed: Value = serde_json::from_str(&line).expect("JSON");
 
     // Act.
     let id = child.id().to_string();
@@ -28,7 +28,7 @@
     assert!(status.expect("kill runs").success());
     let began = Instant::now();
     let mut ended = None;
-    while ended.is_none() && began.elapsed() < PATIENCE {
+    while ended.is_none() && began.elapsed() < EXIT_TIMEOUT {
         ended = child.try_wait().expect("a child of ours");
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -38,6 +38,6 @@
     child.wait().expect("a child of ours");
 
     // Assert.
-    assert!(told["store"].is_string(), "{line}");
+    assert!(printed["store"].is_string(), "{line}");
     assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
 }
