--- a/tests/told_configuration.rs
+++ b/tests/told_configuration.rs
@@ -1,7 +1,9 @@
-//! In a cell of many nodes a new configuration comes from the owner's watchers, not from the store.
+//! In a cell of many nodes, a new configuration comes from the owner's watchers, not from the
+//! store.
 //!
-//! The pattern: some hundred nodes and a configuration that changes some times a minute; the questions
-//! of all nodes for it made up most of the calls that the store had.
+//! Guards against reads of the configuration making up most of the store's calls, as happens with
+//! some hundred nodes and a configuration that changes several times a minute if every node reads
+//! it from the store.
 
 mod cell_core;
 mod virtual_node;
@@ -19,10 +21,10 @@
 use crossweir::store::{RowKey, Table, Transaction, encode};
 use virtual_node::{Relay, VirtualNode, virtual_node_with_workers};
 
-/// Nodes beside the one under test, the last of which owns the cell.
-const OTHERS: u16 = 40;
+/// The number of peers of the node under test; the last peer owns the cell.
+const PEERS: u16 = 40;
 
-fn configured(version: u64) -> Configuration {
+fn configuration_of(version: u64) -> Configuration {
     Configuration::from(Draft {
         version,
         queues: vec![queue("q", 0)],
@@ -31,10 +33,10 @@
     })
 }
 
-/// A node of which all others are far stronger.
+/// Returns a node that is far weaker than its peers, so that it is no watcher.
 async fn node() -> VirtualNode {
     let node = virtual_node_with_workers(
-        &vec![Relay::Works; usize::from(OTHERS)],
+        &vec![Relay::Works; usize::from(PEERS)],
         |clock| Arc::new(MemoryWorkers::new(clock, std::iter::empty())),
         Arc::new(JsonDecoder),
     );
@@ -42,20 +44,21 @@
     node
 }
 
+/// Writes a version of the configuration to the store and gives it to the peers.
 fn write(node: &VirtualNode, version: u64) {
     let mut tx = Transaction::default();
     let key = RowKey::new(Table::Operator, "", "configuration");
-    tx.puts.push((key, encode(&configured(version))));
+    tx.puts.push((key, encode(&configuration_of(version))));
     node.store.commit(&tx);
     node.faulty_store
         .configuration
         .store(version, Ordering::Relaxed);
 }
 
-/// All others tell of themselves, the owner of the version that it has.
-fn hear(node: &VirtualNode, version: u64) {
-    for number in 1..=OTHERS {
-        let owns = number == OTHERS;
+/// Applies a heartbeat of each peer; the owner reports this version of the configuration.
+fn apply_heartbeats(node: &VirtualNode, version: u64) {
+    for number in 1..=PEERS {
+        let owns = number == PEERS;
         node.shared.apply_heartbeat(&Heartbeat {
             name: format!("a{number:02}"),
             boot: 1,
@@ -71,26 +74,28 @@
     }
 }
 
+/// Lets time pass.  The peers send heartbeats every 100 ms, unless `version` is none.
 async fn pass(node: &VirtualNode, version: Option<u64>, millis: u64) {
     for _ in 0..millis / 100 {
         if let Some(version) = version {
-            hear(node, version);
+            apply_heartbeats(node, version);
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-fn reads(node: &VirtualNode) -> usize {
+/// Returns how often the node has read the operator's rows from the store.
+fn operator_reads(node: &VirtualNode) -> usize {
     node.faulty_store.operator_calls.load(Ordering::Relaxed)
 }
 
-/// Starts a node that has read the configuration, and hears the owner.
-async fn told_node() -> VirtualNode {
+/// Starts a node that has read the configuration and receives the owner's heartbeats.
+async fn notified_node() -> VirtualNode {
     let node = node().await;
-    hear(&node, 1);
+    apply_heartbeats(&node, 1);
     assert!(
         !node.shared.members().watches("n0"),
-        "it should be no watcher"
+        "the node must not be a watcher"
     );
     tokio::spawn(configuration::follow(Arc::clone(&node.shared)));
     tokio::spawn(configuration::follow_members(Arc::clone(&node.shared)));
@@ -101,29 +106,29 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_node_that_hears_the_owner_reads_no_more_rows_of_the_operator() {
-    let node = told_node().await;
-    let before = reads(&node);
+    let node = notified_node().await;
+    let before = operator_reads(&node);
 
     pass(&node, Some(1), 20_000).await;
 
-    assert_eq!(reads(&node), before);
+    assert_eq!(operator_reads(&node), before);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_newer_version_of_which_the_owner_tells_comes_from_a_watcher() {
-    let node = told_node().await;
-    let before = reads(&node);
+    let node = notified_node().await;
+    let before = operator_reads(&node);
 
     write(&node, 2);
     pass(&node, Some(2), 600).await;
 
     assert_eq!(node.shared.config_version(), 2);
-    assert_eq!(reads(&node), before);
+    assert_eq!(operator_reads(&node), before);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_hears_the_owner_no_more_reads_the_store_again() {
-    let node = told_node().await;
+async fn a_node_that_no_longer_hears_the_owner_reads_the_store_again() {
+    let node = notified_node().await;
 
     write(&node, 2);
     pass(&node, None, 2_000).await;
@@ -133,12 +138,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_node_that_no_watcher_gives_the_newer_version_reads_the_store() {
-    let node = told_node().await;
+    let node = notified_node().await;
     node.faulty_store.configuration.store(0, Ordering::Relaxed);
 
     let mut tx = Transaction::default();
     let key = RowKey::new(Table::Operator, "", "configuration");
-    tx.puts.push((key, encode(&configured(3))));
+    tx.puts.push((key, encode(&configuration_of(3))));
     node.store.commit(&tx);
     pass(&node, Some(3), 2_000).await;
 
