--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -1,4 +1,5 @@
-//! Who is let in, and which descriptions of workspaces are refused.
+//! Authentication of callers by the keys of workspaces, and validation of the workspaces in a
+//! configuration.
 
 mod cell_core;
 
@@ -17,7 +18,7 @@
     no_key = { b"Bearer ", None },
     no_blank = { b"Bearer", None },
     other_scheme = { b"Basic azE6", None },
-    nothing = { b"", None },
+    empty = { b"", None },
 )]
 fn a_key_is_read_from_the_header(header: &[u8], wanted: Option<&[u8]>) {
     assert_eq!(bearer_key(header), wanted);
@@ -32,7 +33,7 @@
     public_with_an_unknown_key = { true, Some("Bearer nobody"), Ok(Caller::Anonymous) },
     public_with_its_key = { true, Some("Bearer team"), Ok(Caller::Workspace(String::from("team"))) },
 )]
-fn a_caller_is_told_by_its_key(
+fn a_caller_is_identified_by_its_key(
     is_public: bool,
     header: Option<&str>,
     wanted: Result<Caller, KeyError>,
@@ -95,8 +96,8 @@
     );
 }
 
-/// A configuration as operators write it, with these tenants.
-fn written(tenants: &str) -> String {
+/// Returns a configuration in the operators' format with these tenants.
+fn configuration_text(tenants: &str) -> String {
     format!("{{\"version\":3,\"routes\":[],\"tenants\":{tenants}}}")
 }
 
@@ -111,9 +112,9 @@
     cap_beyond_64_bits = { r#"[{"name":"a","cap":{"cpu":99999999999999999999}}]"#, "invalid" },
     no_name = { r#"[{"api_keys":["k"]}]"#, "missing field" },
 )]
-fn a_description_at_fault_is_refused_whole(tenants: &str, wanted: &str) {
-    let refused = PlatformDecoder.configuration(&written(tenants));
-    let err = refused.expect_err("it is at fault").to_string();
+fn a_configuration_with_an_invalid_workspace_is_refused_as_a_whole(tenants: &str, wanted: &str) {
+    let refused = PlatformDecoder.configuration(&configuration_text(tenants));
+    let err = refused.expect_err("an invalid workspace").to_string();
     assert!(err.contains(wanted), "{err}");
     assert!(!err.contains("\"k\""), "{err}");
 }
@@ -124,9 +125,9 @@
     no_cap = { r#"[{"name":"a"}]"# },
     of_a_later_version = { r#"[{"name":"a","colour":"red"}]"# },
 )]
-fn a_description_may_leave_things_out(tenants: &str) {
+fn fields_of_a_workspace_are_optional_and_unknown_ones_are_ignored(tenants: &str) {
     let config = PlatformDecoder
-        .configuration(&written(tenants))
+        .configuration(&configuration_text(tenants))
         .expect("it is fine");
     let a = config.workspace("a").expect("it is there");
     assert_eq!(a.cap, Demand::default());
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_description_is_read() {
+fn the_workspaces_of_a_configuration_are_read() {
     // Arrange
     let text = r#"{"version":7,"routes":[{"name":"r","host":"H.example","path_prefix":"/p/","service":"s","public":true}],
         "tenants":[{"name":"a","api_keys":["k1","k2"],"priority":1,"weight":19,"cap":{"cpu":4876800,"mem_mb":5220651,"gpu":0}}]}"#;
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn a_job_that_its_cap_can_never_hold_is_told_apart() {
+fn a_job_that_can_never_fit_into_the_cap_of_its_workspace_is_recognised() {
     let team = workspace("team", 8);
     let spec = |step: Step| JobSpec {
         steps: vec![step],
@@ -186,8 +187,8 @@
         .collect();
     queues.push(at("h1.example", String::from("/")));
     queues.push(at("h1.example", String::from("/p1/deep/")));
-    for (place, queue) in queues.iter_mut().enumerate() {
-        queue.name = format!("q{place}");
+    for (index, queue) in queues.iter_mut().enumerate() {
+        queue.name = format!("q{index}");
     }
     let config = Configuration::from(Draft {
         version: 1,
