--- a/tests/node.rs
+++ b/tests/node.rs
@@ -215,8 +215,8 @@
             .await
             .expect("an answer");
         assert_eq!(answer.status, StatusCode::BAD_REQUEST, "{reason}");
-        let told: Value = answer.json().expect("a reason");
-        assert_eq!(told["reason"], reason);
+        let refusal: Value = answer.json().expect("a reason");
+        assert_eq!(refusal["reason"], reason);
     }
     let answer = call(Method::GET, nodes[0].callers, id, Value::Null)
         .await
--- a/tests/roster_rows.rs
+++ b/tests/roster_rows.rs
@@ -206,10 +206,10 @@
     rows.apply(additions(&named));
     write(&store, &mut rows).await;
     let mut stored = stored(&store).await;
-    let mut former = stored[0].clone();
-    former.key.push('0');
-    former.value = encode(&entries(1, None));
-    stored.push(former);
+    let mut child = stored[0].clone();
+    child.key.push('0');
+    child.value = encode(&entries(1, None));
+    stored.push(child);
 
     // Act, assert.
     assert_eq!(RosterRows::read(&stored).1, entries(1, None));
