--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -55,7 +55,7 @@
             critical_path: urgency::critical_path(&spec, |_| true),
             spec: Arc::new(spec),
             text: Arc::from(row.spec.text.as_str()),
-            ordering: self.policy.decide(&queue, &row.spec),
+            decision: self.policy.decide(&queue, &row.spec),
             queue,
             queue_configured,
             state: JobState::Queued,
@@ -63,7 +63,7 @@
             known_to_peer: false,
             unrecorded_ends: Vec::new(),
             accepted_at: now,
-            predates: predates || self.has_unread_jobs,
+            predates_ownership: predates || self.has_unread_jobs,
             record_starts_first: false,
             occurrences: Default::default(),
             dirty: false,
@@ -210,7 +210,7 @@
         let spec = Arc::clone(&job.spec);
         let id = job.id;
         let mut keys = Vec::with_capacity(spec.steps.len());
-        for (place, step) in spec.steps.iter().enumerate() {
+        for (index, step) in spec.steps.iter().enumerate() {
             let mut tasks = Vec::with_capacity(step.tasks as usize);
             tasks.resize_with(step.tasks as usize, Task::default);
             let step_key = self.steps.insert(StepRun {
@@ -218,7 +218,7 @@
                 name: StepName {
                     job: id,
                     time,
-                    step: place as u16,
+                    step: index as u16,
                 },
                 spec: Arc::clone(&spec),
                 tasks,
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Begins the occurrences of which progress is recorded: the former owner's time of day may
-    /// have been ahead of ours.
+    /// Begins the occurrences of which progress is recorded, even if they are not due yet: the
+    /// former owner's wall clock may have been ahead of ours.
     fn begin_recorded_occurrences(&mut self, key: JobKey, progress: &JobProgress) {
         let recorded = progress.tasks.iter().map(|task| task.place.0 + 1).max();
         let begun = self.jobs[key].occurrences.len() as u32;
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -72,7 +72,7 @@
     /// The queue as in the latest configuration that has it.
     pub queue: Queue,
     /// What the policy decided about the job.
-    pub ordering: Decision,
+    pub decision: Decision,
     /// Whether the configuration in force has the queue.
     pub queue_configured: bool,
     /// The state as decided by this owner.
@@ -87,10 +87,11 @@
     pub accepted_at: Millis,
     /// The length of the critical path of all steps by the caller's estimates, in milliseconds.
     pub critical_path: Millis,
-    /// A former owner may have started tasks of the job.
-    pub predates: bool,
-    /// Starts of the job's tasks may have been lost with a former owner that had not recorded them,
-    /// so each further start is recorded before it is sent.
+    /// The job may have been submitted before this ownership began, so a former owner may have
+    /// started tasks of it.
+    pub predates_ownership: bool,
+    /// A former owner may have started tasks of the job without recording that, so each further
+    /// start is recorded before it is sent.
     pub record_starts_first: bool,
     /// The steps of each occurrence begun so far; only 0 exists for a job without schedule.
     pub occurrences: BTreeMap<u32, Vec<StepKey>>,
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -171,10 +171,14 @@
     early_ends: IndexMap<JobId, JobState>,
     /// The former lives of workers that are not in `workers` any more, by worker id.
     former_lives: IndexMap<String, FormerLives>,
-    /// Losses by life of which it is not known yet whether they crashed that life.
+    /// Losses on each life that is not yet known to have crashed or survived.
     pending_losses: IndexMap<Life, crash::PendingLosses>,
-    /// Starts whose worker was lost before it was known whether it had carried them out.  Their
-    /// runs may have been removed by now, and other runs started in their place.
+    /// Starts whose worker was lost before it was known whether it had carried them out.
+    ///
+    /// An entry outlives its run in `runs`, whose slot a later run may then reuse.  So this is an
+    /// ordered map and not a secondary map of `runs`: in that, an entry for the later run would
+    /// overwrite the earlier one.  The loss would then never be decided, and the task would wait
+    /// forever, because it is not started while a loss that could fail its job is undecided.
     awaiting_verdict: BTreeMap<RunKey, crash::LossKey>,
     /// Runs whose start is being recorded before it is sent.
     planned: Vec<RunKey>,
@@ -443,7 +447,7 @@
                 }
                 None => job.queue_configured = false,
             }
-            job.ordering = self.policy.decide(&job.queue, &job.spec);
+            job.decision = self.policy.decide(&job.queue, &job.spec);
         }
     }
 
@@ -451,7 +455,7 @@
     pub fn set_policy(&mut self, policy: Arc<dyn Policy>) {
         self.policy = policy;
         for job in self.jobs.values_mut() {
-            job.ordering = self.policy.decide(&job.queue, &job.spec);
+            job.decision = self.policy.decide(&job.queue, &job.spec);
         }
     }
 
@@ -515,14 +519,15 @@
         let worker = self.workers.get(key)?;
         let ends = worker.next_forget(now);
         let may_wait = ends != NextForget::Deferred && worker.accepted_end == worker.recorded_end;
-        // Such a poll renews no lease and does not wait for an end.
+        // Another life may answer, or a lease cannot be given by the worker's clock.  A probe
+        // therefore renews no lease and does not wait for an end.
         let is_probe = worker.has_uncertain_life() || !worker.has_recent_clock(now);
         let order = PollOrder {
             to: self.addressee(key),
             sequence,
             sent: now,
             forget: match ends {
-                NextForget::UpTo(place) => place,
+                NextForget::UpTo(number) => number,
                 NextForget::Nothing | NextForget::Deferred => 0,
             },
             due: match worker.clock_at(now) {
--- a/src/cell/plan.rs
+++ b/src/cell/plan.rs
@@ -43,7 +43,7 @@
     /// started its tasks.
     pub(super) fn set_record_starts_first(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
-        if job.predates && !job.record_starts_first && !job.state.is_final() {
+        if job.predates_ownership && !job.record_starts_first && !job.state.is_final() {
             job.record_starts_first = true;
             job.dirty = true;
         }
--- a/src/cell/poll.rs
+++ b/src/cell/poll.rs
@@ -2,8 +2,8 @@
 //!
 //! A poll asks one worker what runs there and what has ended, and renews the lease of everything
 //! that runs there. It carries the sequence number at which it was sent, so that its answer can be
-//! ordered against what was heard from the worker by other ways: only what was heard before that
-//! number is sure to be reflected in the answer.
+//! ordered against what was heard from the worker through other calls: only what was heard before
+//! that number is sure to be reflected in the answer.
 
 use std::collections::BTreeSet;
 
@@ -148,7 +148,7 @@
     }
 
     /// Tells whether a task may be one of ours that is not known yet: the row of its job could not
-    /// be read, or its scheduled time has not come by our time of day, though it had by a former
+    /// be read, or its scheduled time has not come by our wall clock, though it had by a former
     /// owner's.
     fn is_unread(&self, task: TaskName) -> bool {
         let id = task.step.job;
@@ -186,7 +186,7 @@
         let index = end.task.index;
         if !end.checkpoint.is_empty() && self.steps[step_key].tasks[index as usize].runs.is_empty()
         {
-            self.save_progress(step_key, index, &end.checkpoint);
+            self.set_checkpoint(step_key, index, &end.checkpoint);
             self.jobs[job_key].dirty = true;
         }
         match end.how {
@@ -323,7 +323,7 @@
         if !entry.checkpoint.is_empty()
             && self.steps[step].tasks[index as usize].checkpoint != entry.checkpoint
         {
-            self.save_progress(step, index, &entry.checkpoint);
+            self.set_checkpoint(step, index, &entry.checkpoint);
         }
         self.mark_job_running(self.steps[step].job);
         self.reduce_blame(key, now);
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -35,7 +35,8 @@
     pub state: JobState,
     /// The progress of tasks that are done, have failed, have a checkpoint or have lost workers.
     pub tasks: Vec<TaskProgress>,
-    /// Starts of the job's tasks may have been lost with a former owner that had not recorded them.
+    /// A former owner may have started tasks of the job without recording that, so each further
+    /// start is recorded before it is sent.
     #[serde(
         rename = "careful",
         default,
@@ -175,9 +176,9 @@
             }
         }
         self.release_lives(&batch.ended_lives);
-        for (key, place) in batch.ends {
+        for (key, number) in batch.ends {
             if let Some(worker) = self.workers.get_mut(key) {
-                worker.recorded_end = worker.recorded_end.max(place);
+                worker.recorded_end = worker.recorded_end.max(number);
             }
         }
     }
--- a/src/cell/reservation.rs
+++ b/src/cell/reservation.rs
@@ -6,9 +6,10 @@
 //! by then, or if they fit beside what is reserved (backfill).  Reservations are made anew in each
 //! scheduling round, from the progress of the runs.
 //!
-//! On a site whose gangs take 2 to 8 of a worker's 8 accelerators beside tasks that take one,
-//! gangs earned 0.95 of their worth with reservations and 0.90 without, over days with faults; the
-//! results of other kinds of work differed by no more than 0.01 (docs/DECISIONS.md).
+//! On a site whose gangs take 2 to 8 of a worker's 8 accelerators beside tasks that take one, the
+//! share of the callers' payments for gangs that was earned, net of costs, was 0.95 with
+//! reservations and 0.90 without, over days with faults.  For other kinds of work it differed by no
+//! more than 0.01 (docs/DECISIONS.md).
 
 use crate::cell::round::Round;
 use crate::cell::spec::{Demand, Step};
@@ -64,7 +65,7 @@
 
     /// Returns whether the policy allows the step's job to reserve room.
     fn may_reserve(&self, key: StepKey) -> bool {
-        self.jobs[self.steps[key].job].ordering.reserves
+        self.jobs[self.steps[key].job].decision.reserves
     }
 
     /// Where and when room for tasks of a step becomes free beside what is already reserved.
--- a/src/cell/roster.rs
+++ b/src/cell/roster.rs
@@ -290,7 +290,7 @@
     /// [`Cell::jobs_awaiting_poll`].
     pub(super) fn is_unsettled(&self, step: &StepRun, awaiting_poll: &UnsettledJobs) -> bool {
         let id = step.name.job;
-        let predates = self.jobs[step.job].predates;
+        let predates = self.jobs[step.job].predates_ownership;
         predates && (self.unsettled.contains(id) || awaiting_poll.contains(id))
     }
 
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -297,7 +297,7 @@
         let job_key = self.steps[run.step].job;
         let closed = self.jobs[job_key].state.is_final();
         if !end.checkpoint.is_empty() && !closed {
-            self.save_progress(run.step, run.index, &end.checkpoint);
+            self.set_checkpoint(run.step, run.index, &end.checkpoint);
             self.jobs[job_key].dirty = true;
         }
         match end.how {
@@ -314,15 +314,16 @@
         }
     }
 
-    /// Stores the progress that a task has saved; all members of a gang share it.
-    pub(super) fn save_progress(&mut self, step: StepKey, index: u32, saved: &str) {
+    /// Keeps the latest checkpoint of a task, from which its next run continues; all members of a
+    /// gang share it.
+    pub(super) fn set_checkpoint(&mut self, step: StepKey, index: u32, checkpoint: &str) {
         let step = &mut self.steps[step];
         if step.step().gang {
             for task in &mut step.tasks {
-                task.checkpoint = saved.to_owned();
+                task.checkpoint = checkpoint.to_owned();
             }
         } else {
-            step.tasks[index as usize].checkpoint = saved.to_owned();
+            step.tasks[index as usize].checkpoint = checkpoint.to_owned();
         }
     }
 
@@ -462,7 +463,8 @@
             if run.sent_to != key {
                 self.start_not_found(run_key, now);
             }
-            // A loss that is still only planned was not implicated: other runs were.
+            // A loss that is still marked as planned was not noted as a possible cause of the
+            // crash; other runs were.
             let is_this = |loss: &Loss| loss.planned && loss.run == run.number;
             self.forget_losses(run.step, run.index, is_this);
             self.stop_gang(run.step, now, "a member of the gang is lost");
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -57,12 +57,13 @@
             if !job.queue_configured || self.is_unsettled(step, &awaiting_poll) {
                 continue;
             }
-            // Checked before the rank, which goes over the whole job: of most steps all tasks run.
+            // Checked before computing the rank, which goes over the whole job, since most steps
+            // have no waiting task.
             if self.waiting_tasks(key, now).next().is_none() {
                 continue;
             }
             let rank = self.rank(key, now);
-            order.push((job.ordering.priority, rank, position, key));
+            order.push((job.decision.priority, rank, position, key));
         }
         order.sort_unstable();
         let mut round = Round::new(now);
@@ -177,7 +178,7 @@
     fn is_within_quota(&self, key: StepKey, tasks: u32) -> bool {
         let step = &self.steps[key];
         let job = &self.jobs[step.job];
-        let Some(quota) = job.ordering.quota else {
+        let Some(quota) = job.decision.quota else {
             return true;
         };
         let held = self
@@ -308,7 +309,7 @@
             Some(_) => 10_000_000_000,
             None => 0,
         };
-        let spread = spec.lasting || spec.filler || self.jobs[step.job].ordering.spread;
+        let spread = spec.lasting || spec.filler || self.jobs[step.job].decision.spread;
         let left = free.millicores.saturating_sub(spec.room().millicores);
         unlisted_penalty
             + rack_penalty
@@ -533,7 +534,7 @@
         tracing::info!(
             request = %job.id,
             step = %step.name,
-            predates = job.predates,
+            predates = job.predates_ownership,
             known_ms = now.saturating_sub(job.accepted_at),
             starts = texts.join(", "),
             "starts ordered"
--- a/src/cell/urgency.rs
+++ b/src/cell/urgency.rs
@@ -15,7 +15,7 @@
     pub(super) fn rank(&self, key: StepKey, now: Millis) -> Millis {
         let step = &self.steps[key];
         let job = &self.jobs[step.job];
-        match job.ordering.turn {
+        match job.decision.turn {
             Turn::Arrival => job.accepted_at,
             Turn::LeastWork => self.remaining_work(job),
             Turn::LeastLaxity => self.latest_start(job, step, now),
@@ -41,11 +41,11 @@
     /// The time from which a job's granted time counts: when the job was taken in or, if later,
     /// when the occurrence was due.
     fn deadline_base(&self, job: &Job, time: u32, now: Millis) -> Millis {
-        let (Some(schedule), Some(today)) = (job.spec.schedule, self.unix_time) else {
+        let (Some(schedule), Some(unix_time)) = (job.spec.schedule, self.unix_time) else {
             return job.accepted_at;
         };
         let due = schedule.first + u64::from(time) * schedule.interval;
-        now.saturating_sub(today.saturating_sub(due))
+        now.saturating_sub(unix_time.saturating_sub(due))
             .max(job.accepted_at)
     }
 
