--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -102,7 +102,7 @@
         if self.free_lane(false).is_none() || !round.admit_advice_search() {
             return;
         }
-        self.counts.advice_looks += 1;
+        self.counts.advice_searches += 1;
         let (workers, are_enough) = self.select_advice_workers(key, needed, &timing, round);
         if !are_enough {
             self.unpark_for_step(key, needed, now);
@@ -332,7 +332,7 @@
 
     /// Handles the answer to `order`: the ids of the workers that may run the step, each with its
     /// ticket, or `None` if no answer came.
-    pub fn advised(
+    pub fn advice_answered(
         &mut self,
         order: &AdviceOrder,
         approved: Option<Vec<(String, String)>>,
--- a/src/cell/membership.rs
+++ b/src/cell/membership.rs
@@ -33,7 +33,7 @@
 
 impl Cell {
     /// Places nothing until the platform's list of workers has arrived.
-    pub fn await_list(&mut self) {
+    pub fn await_worker_list(&mut self) {
         self.awaits_worker_list = true;
     }
 
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -84,11 +84,11 @@
     /// Questions to the advice service on which workers may run a step.
     pub questions: u64,
     /// Searches for workers to name in such a question, one per step.
-    pub advice_looks: u64,
+    pub advice_searches: u64,
     /// Workers examined in these searches.
     pub advice_workers: u64,
     /// Workers examined as placement candidates for a step.
-    pub places: u64,
+    pub candidates_examined: u64,
     /// Violations of an invariant: starts withheld because they would break one, and runs taken
     /// over that do not fit on their worker.
     pub violations: u64,
--- a/src/cell/schedule.rs
+++ b/src/cell/schedule.rs
@@ -72,7 +72,7 @@
                 round.record_wait(priority, reason, tasks);
             }
         }
-        self.counts.places += round.candidates_examined;
+        self.counts.candidates_examined += round.candidates_examined;
         self.waiting = round.waiting;
     }
 
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -246,7 +246,8 @@
             let ids = order.workers.iter().map(|(_, id)| id);
             let approved = ids.filter(|id| load::is_approved(priority, &step, id));
             let tickets = approved.map(|id| (id.clone(), String::from("ticket")));
-            self.cell.advised(&order, Some(tickets.collect()), now);
+            self.cell
+                .advice_answered(&order, Some(tickets.collect()), now);
         }
     }
 
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -146,7 +146,7 @@
         cell.mark_roster_incomplete();
     }
     cell.restore_roster(workers, now);
-    cell.await_list();
+    cell.await_worker_list();
     cell.await_evacuated_halls();
     if let Some(leases) = recording::read_remaining_leases(&former.0) {
         cell.apply_remaining_leases(&leases, now);
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -94,7 +94,7 @@
             self.shared.metrics.retry("advice_failed");
         }
         let now = self.shared.now();
-        self.cell().advised(&order, tickets, now);
+        self.cell().advice_answered(&order, tickets, now);
         self.wake.notify_one();
     }
 
--- a/src/node/summary.rs
+++ b/src/node/summary.rs
@@ -65,8 +65,8 @@
             longest_round_ms = self.rounds.longest,
             orders = self.rounds.orders,
             all_starts = self.counts.starts,
-            all_places = self.counts.places,
-            all_advice_looks = self.counts.advice_looks,
+            all_places = self.counts.candidates_examined,
+            all_advice_looks = self.counts.advice_searches,
             all_advice_workers = self.counts.advice_workers,
             all_questions = self.counts.questions,
             "tasks wait"
--- a/tests/cell.rs
+++ b/tests/cell.rs
@@ -178,7 +178,7 @@
     bench.accept(&job(1, &q, vec![step(4, 8_000)]));
     let question = questions(&bench.decide()).remove(0);
     let good = vec![(question.workers[0].1.clone(), String::from("t1"))];
-    bench.cell.advised(&question, Some(good), bench.now);
+    bench.cell.advice_answered(&question, Some(good), bench.now);
     let first = bench.start_all();
     assert_eq!(
         first.len(),
--- a/tests/evacuated_halls.rs
+++ b/tests/evacuated_halls.rs
@@ -162,7 +162,7 @@
     bench.cell.set_evacuated_halls(&halls(&[NORTH]));
 
     // Act
-    bench.cell.advised(&asked[0], Some(only), bench.now);
+    bench.cell.advice_answered(&asked[0], Some(only), bench.now);
 
     // Assert
     assert!(starts(&bench.decide()).is_empty());
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -28,7 +28,7 @@
         .map(|(_, id)| (id.clone(), format!("ticket of {id}")));
     bench
         .cell
-        .advised(order, Some(approved.collect()), bench.now);
+        .advice_answered(order, Some(approved.collect()), bench.now);
 }
 
 #[test]
@@ -172,9 +172,9 @@
 
 /// Returns for how many steps one scheduling round searched workers to ask about.
 fn count_advice_searches(bench: &mut Bench) -> u64 {
-    let before = bench.cell.counts().advice_looks;
+    let before = bench.cell.counts().advice_searches;
     bench.decide();
-    bench.cell.counts().advice_looks - before
+    bench.cell.counts().advice_searches - before
 }
 
 #[test]
@@ -213,11 +213,11 @@
     bench.accept(&job(1, &queue, vec![step(tasks, 4_000)]));
 
     // Act.
-    let before = bench.cell.counts().places;
+    let before = bench.cell.counts().candidates_examined;
     let starts = starts(&bench.decide()).len() as u32;
 
     // Assert.
-    let examined = bench.cell.counts().places - before;
+    let examined = bench.cell.counts().candidates_examined - before;
     assert_eq!(starts, tasks);
     assert!(
         examined <= u64::from(u32::from(workers) + tasks),
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -71,7 +71,9 @@
     let first = questions(&bench.decide());
     let (_, approved) = first[0].workers[0].clone();
     let ticket = (approved.clone(), String::from("ticket"));
-    bench.cell.advised(&first[0], Some(vec![ticket]), bench.now);
+    bench
+        .cell
+        .advice_answered(&first[0], Some(vec![ticket]), bench.now);
 
     bench.pass(3_000);
     bench.poll_all();
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -223,7 +223,7 @@
         let tickets = good.map(|(_, id)| (id.clone(), String::from("ticket")));
         let tickets: Vec<(String, String)> = tickets.collect();
         let answer = (!self.chance(10)).then_some(tickets);
-        self.owner.cell.advised(order, answer, self.now);
+        self.owner.cell.advice_answered(order, answer, self.now);
     }
 
     pub(super) fn start(&mut self, order: StartOrder) {
