--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! What nodes say to one another, by the number of nodes: 147 of them share the work of a
-//! large site, and whatever grows with nodes times nodes takes the owner's processor first.
+//! Traffic between nodes by the number of nodes.  147 nodes share the work of a large site, and
+//! traffic that grows with the square of their number first takes up the owner's CPU time.
 
 mod virtual_cell;
 mod virtual_node;
@@ -9,15 +9,15 @@
 
 use virtual_cell::{Traffic, VirtualCell};
 
-/// The sizes that are compared; the larger one is that of a site of 1,100 workers.
+/// The numbers of nodes that are compared; the larger one is that of a site of 1,100 workers.
 const FEW: usize = 40;
 const MANY: usize = 150;
-/// By how much more than the nodes a figure may grow.
+/// A figure may grow by this factor more than the number of nodes.
 const SLACK: f64 = 1.25;
 /// An owner that is lost is replaced within this time.
 const REPLACED_WITHIN: Duration = Duration::from_millis(1_000);
 
-/// Asserts that a figure grows with the nodes and no faster.
+/// Asserts that a figure grows at most linearly with the number of nodes.
 fn assert_linear(what: &str, few: u64, many: u64) {
     let nodes = MANY as f64 / FEW as f64;
     let grown = many as f64 / few.max(1) as f64;
@@ -39,7 +39,7 @@
     assert_linear("heartbeats", few.calls, many.calls);
 }
 
-/// The owner is lost: what goes between nodes until all know its successor.
+/// Kills the owner; returns the traffic until all nodes know its successor.
 async fn takeover(nodes: usize) -> Traffic {
     let mut cell = VirtualCell::settled(nodes).await;
     let owner = cell.owner().expect("an owner");
@@ -56,9 +56,9 @@
     assert_linear("calls of a takeover", few.calls, many.calls);
 }
 
-/// What a node costs when it starts, whoever is there: greetings, and the owner's heartbeats.
+/// Traffic of a starting node apart from member entries: its first heartbeats and the owner's.
 const START_BYTES: u64 = 16_384;
-/// What it costs to tell one node of another.
+/// Traffic for one member entry, which tells a node of another.
 const ENTRY_BYTES: u64 = 80;
 
 #[tokio::test(start_paused = true)]
@@ -93,8 +93,8 @@
     let mut cell = VirtualCell::settled(MANY).await;
     let seed = cell.members[MANY - 1].shared().address;
 
-    // Act: it knows one other node, which does not own the cell.
-    let newcomer = cell.add_behind(&[seed], true);
+    // Act: the newcomer knows one other node, which does not own the cell.
+    let newcomer = cell.add_with_store_state(&[seed], true);
     let name = cell.members[newcomer].shared().name.clone();
     let known = until_known(&cell, &name, MANY).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_gone_is_not_kept_by_hearsay() {
+async fn a_node_that_is_gone_is_not_kept_by_secondhand_reports() {
     // Arrange.
     let mut cell = VirtualCell::settled(FEW).await;
     let last = cell.members.len() - 1;
@@ -129,8 +129,8 @@
     // Arrange.
     let mut cell = VirtualCell::settled(MANY).await;
 
-    // Act: the strong ones are the first.
-    for _ in 0..virtual_cell::STRONG {
+    // Act: the first nodes are the strong ones.
+    for _ in 0..virtual_cell::STRONG_NODES {
         cell.kill(0);
     }
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -156,39 +156,47 @@
     assert_eq!(cell.members.iter().filter(hear).count(), MANY - 1);
 }
 
-/// A store that is 77 times slower than usual: an answer takes so long, and a transaction keeps
-/// its partition so long.
-const SLOW_ANSWER: u64 = 210;
-const SLOW_TURN: u64 = 250;
-/// The time in which the cell has an owner again then: after the lease of 3.5 s, everything on
-/// the workers would be lost.
-const REPLACED_SLOWLY: Duration = Duration::from_millis(3_000);
+/// A store that is 77 times slower than usual: how long an answer takes, and how long a transaction
+/// locks its partition.
+const SLOW_ANSWER_MS: u64 = 210;
+const SLOW_TRANSACTION_MS: u64 = 250;
+/// The time in which the cell must have an owner again with such a store: after the lease of 3.5 s,
+/// all runs on the workers would be lost.
+const REPLACED_WITHIN_ON_SLOW_STORE: Duration = Duration::from_millis(3_000);
 
 #[tokio::test(start_paused = true)]
 async fn while_the_store_is_slow_few_nodes_claim_a_cell_that_has_lost_its_owner() {
     // Arrange.
     let mut cell = VirtualCell::settled(MANY).await;
     let owner = cell.owner().expect("an owner");
-    cell.pace.answer.store(SLOW_ANSWER, Ordering::Relaxed);
-    cell.pace.turn.store(SLOW_TURN, Ordering::Relaxed);
-    cell.pace.claims.store(0, Ordering::Relaxed);
+    cell.timing
+        .answer_ms
+        .store(SLOW_ANSWER_MS, Ordering::Relaxed);
+    cell.timing
+        .transaction_ms
+        .store(SLOW_TRANSACTION_MS, Ordering::Relaxed);
+    cell.timing.claims.store(0, Ordering::Relaxed);
 
     // Act.
     cell.kill(owner);
-    tokio::time::sleep(REPLACED_SLOWLY).await;
+    tokio::time::sleep(REPLACED_WITHIN_ON_SLOW_STORE).await;
 
-    // Assert: each claim waits for all those before it.
-    let claims = cell.pace.claims.load(Ordering::Relaxed);
+    // Assert: one claim, since each further one would wait for those before it.
+    let claims = cell.timing.claims.load(Ordering::Relaxed);
     assert_eq!(cell.owners(), 1, "after {claims} claims");
     assert_eq!(claims, 1, "claims");
 }
 
 #[tokio::test(start_paused = true)]
-async fn many_nodes_that_start_again_on_a_slow_store_do_not_hold_a_claim_up() {
+async fn many_nodes_that_start_again_on_a_slow_store_do_not_delay_a_claim() {
     // Arrange.
     let mut cell = VirtualCell::settled(MANY).await;
-    cell.pace.answer.store(SLOW_ANSWER, Ordering::Relaxed);
-    cell.pace.turn.store(SLOW_TURN, Ordering::Relaxed);
+    cell.timing
+        .answer_ms
+        .store(SLOW_ANSWER_MS, Ordering::Relaxed);
+    cell.timing
+        .transaction_ms
+        .store(SLOW_TRANSACTION_MS, Ordering::Relaxed);
 
     // Act: the owner and a third of all others are killed and start again.
     for _ in 0..MANY / 3 {
@@ -198,7 +206,7 @@
     for _ in 0..MANY / 3 {
         cell.add(&[]);
     }
-    tokio::time::sleep(REPLACED_SLOWLY).await;
+    tokio::time::sleep(REPLACED_WITHIN_ON_SLOW_STORE).await;
 
     // Assert.
     assert_eq!(cell.owners(), 1);
--- a/tests/virtual_cell/mod.rs
+++ b/tests/virtual_cell/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures for many nodes in virtual time, with one store and a network that counts.
+//! Fixture: a cell of many nodes in virtual time, with one store and a network that counts its
+//! traffic.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -26,19 +27,19 @@
 
 use crate::virtual_node::{NoDecoder, NoWorkers, RuntimeClock};
 
-/// How long a message takes one way.
-const HOP: Duration = Duration::from_millis(1);
-/// The VMs that have half a core; the others have 0.12 of one.
-pub const STRONG: usize = 15;
+/// The delay of a message in one direction.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
+/// How many nodes run on VMs with half a core; the others have 0.12 of one.
+pub const STRONG_NODES: usize = 15;
 
-/// What went between nodes.
+/// Traffic between nodes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Traffic {
     pub calls: u64,
     pub bytes: u64,
 }
 
-/// Carries calls between nodes, and counts them.
+/// Carries calls between nodes, and counts calls and bytes.
 #[derive(Default)]
 pub struct Network {
     nodes: Mutex<HashMap<SocketAddr, Weak<Frontend>>>,
@@ -65,20 +66,20 @@
     async fn exchange(&self, addr: SocketAddr, call: NodeCall) -> Result<NodeReply, PeerError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.count(call.wire_bytes());
-        tokio::time::sleep(HOP).await;
+        tokio::time::sleep(ONE_WAY_DELAY).await;
         let node = self.nodes().get(&addr).and_then(Weak::upgrade);
         let node = node.ok_or(PeerError::NotSent)?;
         let reply = node.serve(call).await;
         self.count(reply.wire_bytes());
-        tokio::time::sleep(HOP).await;
+        tokio::time::sleep(ONE_WAY_DELAY).await;
         Ok(reply)
     }
 }
 
-/// One node's way into the network.
-struct Way(Arc<Network>);
+/// A node's access to the network.
+struct NetworkLink(Arc<Network>);
 
-impl NodeLink for Way {
+impl NodeLink for NetworkLink {
     fn call(
         &self,
         addr: SocketAddr,
@@ -96,26 +97,26 @@
     }
 }
 
-/// The store of all nodes; some may be turned away.
-pub struct Door {
+/// The store as one node sees it; calls of the node fail while it is `unavailable`.
+pub struct NodeStore {
     store: Arc<MemoryStore>,
-    pub shut: std::sync::atomic::AtomicBool,
-    pace: Arc<Pace>,
+    pub unavailable: std::sync::atomic::AtomicBool,
+    timing: Arc<StoreTiming>,
 }
 
-/// How fast the store is, and how many claims of the cell it was sent.
+/// How slow the store is, and how many claims of the cell it has received.
 #[derive(Default)]
-pub struct Pace {
+pub struct StoreTiming {
     /// How long each answer takes, in milliseconds.
-    pub answer: AtomicU64,
-    /// How long each transaction keeps its partition, in milliseconds.
-    pub turn: AtomicU64,
+    pub answer_ms: AtomicU64,
+    /// How long each transaction locks its partition, in milliseconds.
+    pub transaction_ms: AtomicU64,
     pub claims: AtomicU64,
-    /// The transactions of each partition go one after the other.
+    /// One lock for each partition: its transactions are executed one after the other.
     partitions: Mutex<HashMap<String, Arc<tokio::sync::Mutex<()>>>>,
 }
 
-impl Pace {
+impl StoreTiming {
     fn partition(&self, name: String) -> Arc<tokio::sync::Mutex<()>> {
         let mut known = self.partitions.lock().expect("partitions");
         Arc::clone(known.entry(name).or_default())
@@ -124,7 +125,7 @@
     async fn wait(&self, call: &StoreCall) {
         let millis = |time: &AtomicU64| Duration::from_millis(time.load(Ordering::Relaxed));
         if let StoreCall::Commit(tx) = call {
-            // The transactions of an owner write its row as well, with a number of their own.
+            // An owner's other transactions also write its row, with a batch number above 0.
             let is_claim = |value: &str| {
                 serde_json::from_str(value).is_ok_and(|owner: OwnerRow| owner.batch == 0)
             };
@@ -134,31 +135,31 @@
             let first = tx.puts.first().map(|(key, _)| key.partition.clone());
             let partition = self.partition(first.unwrap_or_default());
             let _turn = partition.lock().await;
-            tokio::time::sleep(millis(&self.turn)).await;
+            tokio::time::sleep(millis(&self.transaction_ms)).await;
         }
-        tokio::time::sleep(millis(&self.answer)).await;
+        tokio::time::sleep(millis(&self.answer_ms)).await;
     }
 }
 
-impl Store for Door {
+impl Store for NodeStore {
     fn call(&self, call: StoreCall) -> BoxFuture<'_, Result<StoreReply, StoreError>> {
-        if self.shut.load(Ordering::Relaxed) {
+        if self.unavailable.load(Ordering::Relaxed) {
             return async { Err(StoreError::Unavailable) }.boxed();
         }
-        // What was sent is carried out, also when whoever sent it gives up.
-        let (pace, store) = (Arc::clone(&self.pace), Arc::clone(&self.store));
-        let carried_out = tokio::spawn(async move {
-            pace.wait(&call).await;
+        // A call that was sent is executed even if the sender gives up.
+        let (timing, store) = (Arc::clone(&self.timing), Arc::clone(&self.store));
+        let call_task = tokio::spawn(async move {
+            timing.wait(&call).await;
             store.call(call).await
         });
-        async move { carried_out.await.unwrap_or(Err(StoreError::Unanswered)) }.boxed()
+        async move { call_task.await.unwrap_or(Err(StoreError::Unanswered)) }.boxed()
     }
 }
 
 /// One node of the cell.
 pub struct Member {
     pub front: Arc<Frontend>,
-    pub door: Arc<Door>,
+    pub node_store: Arc<NodeStore>,
     tasks: Vec<AbortHandle>,
 }
 
@@ -176,18 +177,18 @@
 pub struct VirtualCell {
     pub network: Arc<Network>,
     pub store: Arc<MemoryStore>,
-    pub pace: Arc<Pace>,
+    pub timing: Arc<StoreTiming>,
     pub members: Vec<Member>,
     started: usize,
 }
 
 impl VirtualCell {
-    /// A cell of `nodes` that has had an owner for some seconds.
+    /// Starts a cell of `nodes` and waits 5 s, within which one of them becomes the owner.
     pub async fn settled(nodes: usize) -> Self {
         let mut cell = Self {
             network: Arc::default(),
             store: Arc::default(),
-            pace: Arc::default(),
+            timing: Arc::default(),
             members: Vec::new(),
             started: 0,
         };
@@ -200,28 +201,29 @@
         cell
     }
 
-    /// Starts one more node.
+    /// Starts one more node, which reaches the store.  Returns its index in `members`.
     pub fn add(&mut self, seeds: &[SocketAddr]) -> usize {
-        self.add_behind(seeds, false)
+        self.add_with_store_state(seeds, false)
     }
 
-    /// Starts one more node, which the store may turn away.
-    pub fn add_behind(&mut self, seeds: &[SocketAddr], shut: bool) -> usize {
+    /// Starts one more node, for which the store may be unavailable.  Returns its index in
+    /// `members`.
+    pub fn add_with_store_state(&mut self, seeds: &[SocketAddr], unavailable: bool) -> usize {
         let place = self.started;
         self.started += 1;
         let address = SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7_000));
-        let millicores = if place < STRONG { 500 } else { 120 };
-        let door = Arc::new(Door {
+        let millicores = if place < STRONG_NODES { 500 } else { 120 };
+        let node_store = Arc::new(NodeStore {
             store: Arc::clone(&self.store),
-            shut: shut.into(),
-            pace: Arc::clone(&self.pace),
+            unavailable: unavailable.into(),
+            timing: Arc::clone(&self.timing),
         });
         let links = Links {
-            store: door.clone(),
+            store: node_store.clone(),
             workers: Arc::new(NoWorkers),
             advisor: None,
             decoder: Arc::new(NoDecoder) as Arc<dyn Decoder>,
-            peers: Arc::new(Way(Arc::clone(&self.network))),
+            peers: Arc::new(NetworkLink(Arc::clone(&self.network))),
         };
         let shared = Shared::new(
             Identity {
@@ -242,11 +244,15 @@
             tokio::spawn(election::register(Arc::clone(&shared))).abort_handle(),
             tokio::spawn(election::run(shared)).abort_handle(),
         ];
-        self.members.push(Member { front, door, tasks });
+        self.members.push(Member {
+            front,
+            node_store,
+            tasks,
+        });
         self.members.len() - 1
     }
 
-    /// A process ends without a word.
+    /// Kills a node: it neither tells the others nor releases the cell.
     pub fn kill(&mut self, place: usize) {
         let member = self.members.remove(place);
         self.network.nodes().remove(&member.shared().address);
@@ -266,7 +272,7 @@
         self.members.iter().position(Member::owns)
     }
 
-    /// What goes between nodes within `time`.
+    /// The traffic between nodes during the next `time`.
     pub async fn traffic_within(&self, time: Duration) -> Traffic {
         let before = self.network.traffic();
         tokio::time::sleep(time).await;
