--- a/tests/confirming.rs
+++ b/tests/confirming.rs
@@ -1,4 +1,4 @@
-//! What confirms an owner that does not reach the store itself.
+//! Confirmation of an owner by other nodes while it does not reach the store itself.
 
 mod virtual_node;
 
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use virtual_node::{Relay, VirtualNode, claim, virtual_node};
 
-/// Longer than any confirmation holds.
+/// Longer than any confirmation is valid.
 const LONG: Duration = Duration::from_secs(8);
 
 struct Bench {
@@ -28,14 +28,14 @@
         .expect("the cell loads");
     node.shared.set_engine(Some(Arc::clone(&engine)));
     let bench = Bench { node, engine };
-    bench.hear(relays);
+    bench.receive_heartbeats(relays);
     bench
 }
 
 impl Bench {
-    /// All other nodes tell of themselves; those whose relay does not say otherwise
-    /// believe that they reach the store.
-    fn hear(&self, relays: &[Relay]) {
+    /// The owner receives a heartbeat of each peer.  All report that they reach the store, except
+    /// those whose relay is [`Relay::Away`].
+    fn receive_heartbeats(&self, relays: &[Relay]) {
         for (place, relay) in relays.iter().enumerate() {
             self.node.shared.apply_heartbeat(&Heartbeat {
                 name: format!("n{}", place + 1),
@@ -48,16 +48,16 @@
         }
     }
 
-    /// Time passes while the others tell of themselves ten times a second.
+    /// Lets [`LONG`] pass, with ten heartbeats a second of each peer.
     async fn pass(&self, relays: &[Relay]) {
         let until = Instant::now() + LONG;
         while Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            self.hear(relays);
+            self.receive_heartbeats(relays);
         }
     }
 
-    fn shut_out(&self) {
+    fn cut_off_from_store(&self) {
         self.node
             .faulty_store
             .unavailable
@@ -70,7 +70,7 @@
     // Arrange: of four other nodes the last alone reaches the store.
     let relays = [Relay::Silent, Relay::Silent, Relay::Silent, Relay::Works];
     let bench = owner(&relays).await;
-    bench.shut_out();
+    bench.cut_off_from_store();
 
     // Act.
     claim(&bench.node.store, "n9", 1, 2);
@@ -90,7 +90,7 @@
     let bench = owner(&relays).await;
 
     // Act.
-    bench.shut_out();
+    bench.cut_off_from_store();
     bench.pass(&relays).await;
 
     // Assert.
@@ -98,7 +98,10 @@
         !bench.engine.is_active(),
         "any of them may have claimed the cell"
     );
-    assert!(!bench.engine.is_retired(), "nobody is known to have");
+    assert!(
+        !bench.engine.is_retired(),
+        "no node is known to have claimed the cell"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -108,12 +111,12 @@
     let bench = owner(&relays).await;
 
     // Act.
-    bench.shut_out();
+    bench.cut_off_from_store();
     bench.pass(&relays).await;
 
     // Assert.
     assert!(
         bench.engine.is_active(),
-        "nobody of them can claim the cell"
+        "none of the nodes that answer can claim the cell"
     );
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,4 +1,5 @@
-//! How soon a cell whose nodes were all killed has an owner again.
+//! Election of an owner: how soon a cell without an owner is claimed, by which node, and how an
+//! owner gives the cell up.
 
 mod virtual_node;
 
@@ -14,7 +15,7 @@
 use virtual_node::{Relay, VirtualNode, claim, virtual_node, virtual_node_with_millicores};
 
 /// A heartbeat of a node that has just started and knows of epoch 5.
-fn started_beat() -> Heartbeat {
+fn heartbeat_after_start() -> Heartbeat {
     Heartbeat {
         name: String::from("n1"),
         boot: 1,
@@ -36,7 +37,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_node_that_has_just_started_does_not_wait_for_an_owner_that_is_gone() {
-    // Arrange: all nodes were killed, the owner's port is dead.
+    // Arrange: all nodes were killed, and nothing listens at the owner's port.
     let node = virtual_node(&[Relay::Gone]);
     claim(&node.store, "n9", 1, 5);
 
@@ -53,8 +54,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_row_of_ownership_that_cannot_be_read_is_not_claimed_over() {
-    // Arrange: it was written by somebody else, or torn.
+async fn an_ownership_row_that_cannot_be_read_is_not_overwritten() {
+    // Arrange: another program wrote the row, or it is incomplete.
     let node = virtual_node(&[Relay::Gone]);
     let mut tx = Transaction::default();
     tx.puts
@@ -65,30 +66,30 @@
     tokio::spawn(election::run(Arc::clone(&node.shared)));
     tokio::time::sleep(Duration::from_secs(10)).await;
 
-    // Assert: its epoch is not known, so a claim might begin below it.
+    // Assert: the row's epoch is not known, so a claim might use a lower one.
     assert!(node.shared.engine().is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_never_heard_the_owner_does_not_speak_for_it() {
+async fn a_node_that_never_heard_the_owner_does_not_vouch_for_it() {
     let node = virtual_node(&[Relay::Gone]);
-    node.shared.apply_heartbeat(&started_beat());
-    let beat = node.shared.heartbeat();
-    assert_eq!((beat.epoch, beat.owner_silence), (5, u64::MAX));
+    node.shared.apply_heartbeat(&heartbeat_after_start());
+    let heartbeat = node.shared.heartbeat();
+    assert_eq!((heartbeat.epoch, heartbeat.owner_silence), (5, u64::MAX));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_speaks_for_an_owner_that_it_has_heard() {
+async fn a_node_vouches_for_an_owner_that_it_has_heard() {
     let node = virtual_node(&[Relay::Gone]);
     node.shared.apply_heartbeat(&Heartbeat {
         owns: true,
-        ..started_beat()
+        ..heartbeat_after_start()
     });
     tokio::time::sleep(Duration::from_millis(120)).await;
     assert!(node.shared.heartbeat().owner_silence <= 120);
 }
 
-/// Milliseconds until the node, alone with a store, owns the cell.
+/// Starts the election on the node; returns how many milliseconds pass until it owns the cell.
 async fn time_to_claim(node: &VirtualNode) -> u64 {
     tokio::spawn(election::run(Arc::clone(&node.shared)));
     let began = node.shared.now();
@@ -111,15 +112,15 @@
     assert!((strong + 250..strong + 600).contains(&weak), "{weak}");
 }
 
-/// The owner hears another node of this strength for some seconds.
-async fn owner_beside(strength: u32) -> VirtualNode {
+/// A weak owner that receives heartbeats of a peer of this strength, in millicores, for 5 s.
+async fn owner_that_hears_peer(strength: u32) -> VirtualNode {
     let node = virtual_node_with_millicores(100, &[]);
     time_to_claim(&node).await;
     for _ in 0..50 {
         node.shared.apply_heartbeat(&Heartbeat {
             strength,
             epoch: tuning::next_epoch(0),
-            ..started_beat()
+            ..heartbeat_after_start()
         });
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -128,14 +129,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_owner_gives_the_cell_up_to_a_far_stronger_node() {
-    let node = owner_beside(500).await;
+    let node = owner_that_hears_peer(500).await;
     let row = owner_row(&node).await;
     assert!(row.released || row.epoch > tuning::next_epoch(0), "{row:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_owner_keeps_the_cell_beside_a_node_that_is_little_stronger() {
-    let node = owner_beside(150).await;
+    let node = owner_that_hears_peer(150).await;
     let row = owner_row(&node).await;
     assert_eq!((row.epoch, row.released), (tuning::next_epoch(0), false));
 }
@@ -145,7 +146,7 @@
     let node = virtual_node(&[Relay::Gone]);
     let owning = Heartbeat {
         owns: true,
-        ..started_beat()
+        ..heartbeat_after_start()
     };
     node.shared.apply_heartbeat(&owning);
     node.shared.apply_heartbeat(&Heartbeat {
@@ -156,29 +157,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_owner_whose_giving_up_is_in_doubt_does_not_go_on() {
-    // Arrange: an owner, and a store that has gone silent without its noticing.
+async fn an_owner_that_does_not_know_whether_it_released_the_cell_does_not_go_on() {
+    // Arrange: an owner that has not yet noticed that the store no longer answers.
     let node = virtual_node_with_millicores(100, &[]);
     time_to_claim(&node).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     node.faulty_store.silent.store(true, Ordering::Relaxed);
 
-    // Act: a far stronger node is heard for some seconds.
+    // Act: the owner receives heartbeats of a far stronger node for 5 s.
     for _ in 0..50 {
         node.shared.apply_heartbeat(&Heartbeat {
             strength: 500,
             epoch: tuning::next_epoch(0),
-            ..started_beat()
+            ..heartbeat_after_start()
         });
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 
-    // Assert: what it would have recorded with it may or may not be durable.
+    // Assert: the transaction that releases the cell may or may not have been committed.
     assert!(node.shared.engine().is_none());
 }
 
-/// Another node was heard as the owner under `epoch`, and gives the cell up.
-fn another_gives_up(node: &VirtualNode, epoch: u64) {
+/// The node hears the peer `n1` as owner under `epoch`, and then that it has released the cell.
+fn another_node_releases_cell(node: &VirtualNode, epoch: u64) {
     let row = OwnerRow {
         name: String::from("n1"),
         address: String::from("127.0.0.1:1"),
@@ -194,51 +195,52 @@
         node.shared.apply_heartbeat(&Heartbeat {
             owns,
             epoch,
-            ..started_beat()
+            ..heartbeat_after_start()
         });
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_candidate_that_waited_for_one_owner_does_not_claim_at_once_from_the_next() {
-    // Arrange: a weak node that stands aside for some 260 ms has heard an owner give up.
+    // Arrange: an owner releases the cell, and a weak node leaves stronger ones some 260 ms to
+    // claim it.
     let node = virtual_node_with_millicores(120, &[Relay::Gone]);
     tokio::spawn(election::run(Arc::clone(&node.shared)));
-    another_gives_up(&node, 5);
+    another_node_releases_cell(&node, 5);
     tokio::time::sleep(Duration::from_millis(200)).await;
 
-    // Act: another node has taken the cell meanwhile, and gives it up soon.
-    another_gives_up(&node, 6);
+    // Act: another node has claimed the cell meanwhile, and soon releases it.
+    another_node_releases_cell(&node, 6);
     let began = node.shared.now();
     while owner_row(&node).await.name != "n0" {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 
-    // Assert: stronger nodes had their time again.
+    // Assert: stronger nodes had the full time again.
     let waited = node.shared.now() - began;
     assert!(waited >= 260, "{waited} ms");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_former_owner_that_has_started_again_does_not_end_the_wait_for_a_claim() {
-    // Arrange: an owner was heard, and then a node that claims the cell from it.
+    // Arrange: the node has heard an owner, and then another node that claims the cell from it.
     let node = virtual_node(&[Relay::Gone, Relay::Gone]);
     node.shared.apply_heartbeat(&Heartbeat {
         owns: true,
-        ..started_beat()
+        ..heartbeat_after_start()
     });
     tokio::time::sleep(Duration::from_millis(600)).await;
     node.shared.apply_heartbeat(&Heartbeat {
         name: String::from("n2"),
         address: String::from("127.0.0.1:2"),
         claim_age: Some(0),
-        ..started_beat()
+        ..heartbeat_after_start()
     });
 
-    // Act: the former owner is back, and owns nothing any more.
+    // Act: the former owner has restarted and does not own the cell any more.
     node.shared.apply_heartbeat(&Heartbeat {
         boot: 2,
-        ..started_beat()
+        ..heartbeat_after_start()
     });
 
     // Assert.
@@ -250,10 +252,10 @@
 async fn a_claim_whose_answer_is_late_is_not_written_again() {
     // Arrange: a store that takes 700 ms for each answer.
     let node = virtual_node(&[Relay::Works]);
-    node.shared.apply_heartbeat(&started_beat());
+    node.shared.apply_heartbeat(&heartbeat_after_start());
     node.faulty_store.delay.store(700, Ordering::Relaxed);
 
-    // Act: a claim through another node would be the second one.
+    // Act: a claim through another node would be a second one.
     let took = time_to_claim(&node).await;
 
     // Assert.
@@ -266,15 +268,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_that_meets_the_last_word_of_a_dead_owner_is_made_again_at_once() {
-    // Arrange: a node reads the row of ownership, and its claim is on its way for 500 ms.
+async fn a_claim_that_conflicts_with_the_last_write_of_a_dead_owner_is_repeated_at_once() {
+    // Arrange: a node reads the ownership row, and its claim takes 500 ms to reach the store.
     let node = virtual_node(&[Relay::Gone]);
     claim(&node.store, "n9", 1, 5);
     node.faulty_store.delay.store(500, Ordering::Relaxed);
     tokio::spawn(election::run(Arc::clone(&node.shared)));
     tokio::time::sleep(Duration::from_millis(800)).await;
 
-    // Act: a transaction that the former owner sent before its end takes effect.
+    // Act: a transaction that the former owner sent before it died is committed.
     claim(&node.store, "n9", 1, 5);
     tokio::time::sleep(Duration::from_millis(1_000)).await;
 
--- a/tests/forgotten_nodes.rs
+++ b/tests/forgotten_nodes.rs
@@ -1,5 +1,6 @@
-//! An owner that reaches neither the store nor any other node is not confirmed by having
-//! forgotten the nodes that are silent: one of them may have claimed the cell.
+//! An owner that reaches neither the store nor any other node drops the silent nodes from its
+//! members after a while.  It must not count as confirmed because no other node is left: one of the
+//! dropped nodes may have claimed the cell.
 
 mod virtual_node;
 
@@ -11,7 +12,8 @@
 use crossweir::rpc::node::Heartbeat;
 use virtual_node::{Relay, VirtualNode, claim, virtual_node};
 
-/// An owner that has heard two other nodes, and reaches neither them nor the store from now on.
+/// An owner that has received heartbeats of two other nodes, and reaches neither them nor the store
+/// from now on.
 async fn owner_that_is_cut_off() -> (VirtualNode, Arc<Engine>) {
     let node = virtual_node(&[Relay::Silent, Relay::Silent]);
     let version = claim(&node.store, "n0", 7, 1);
@@ -32,7 +34,7 @@
     (node, engine)
 }
 
-/// Lets time pass; silent nodes are dropped as with each heartbeat of an owner.
+/// Lets time pass; silent nodes are dropped as an owner does with each heartbeat.
 async fn pass(node: &VirtualNode, seconds: u64) {
     for _ in 0..seconds * 10 {
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the others, and how two that know different nodes come to agree.
+//! The members that a node knows, and how nodes with different members synchronise.
 
 use crossweir::node::members::{MAX_CHANGES, Members, NodeRow, Source};
 use crossweir::rpc::node::{Heartbeat, MemberChange, NodeCall};
@@ -17,7 +17,7 @@
     format!("n{place}")
 }
 
-/// What the node of this place knows of `others`.
+/// The members of the node with the number `place`, which knows `others`.
 fn members(place: usize, others: impl IntoIterator<Item = usize>) -> Members {
     let mut members = Members::new(&name(place), &row(place));
     for other in others {
@@ -26,8 +26,8 @@
     members
 }
 
-/// What the node of this place says of itself and of others.
-fn beat(place: usize, from: &Members, changes: Vec<MemberChange>) -> Heartbeat {
+/// A heartbeat of the node with the number `place`, which reports `changes`.
+fn heartbeat(place: usize, from: &Members, changes: Vec<MemberChange>) -> Heartbeat {
     Heartbeat {
         name: name(place),
         boot: 1,
@@ -39,12 +39,12 @@
     }
 }
 
-/// The owner, at place 0, and the node at `place` exchange a heartbeat.
+/// The owner, which is node 0, and the node `place` exchange heartbeats.
 fn exchange(owner: &mut Members, other: &mut Members, place: usize) {
     let changes = owner.changes_for(&name(place));
-    other.apply_heartbeat(&beat(0, owner, changes), Source::Authoritative, NOW);
+    other.apply_heartbeat(&heartbeat(0, owner, changes), Source::Authoritative, NOW);
     let changes = other.changes_for(&name(0));
-    owner.apply_heartbeat(&beat(place, other, changes), Source::Secondhand, NOW);
+    owner.apply_heartbeat(&heartbeat(place, other, changes), Source::Secondhand, NOW);
 }
 
 #[test]
@@ -68,7 +68,10 @@
     while owner.digest() != other.digest() {
         exchange(&mut owner, &mut other, 100);
         exchanges += 1;
-        assert!(exchanges < 20, "they never agree");
+        assert!(
+            exchanges < 20,
+            "the nodes still differ after {exchanges} exchanges"
+        );
     }
 
     // Assert.
@@ -106,7 +109,7 @@
 }
 
 #[test]
-fn only_the_owner_tells_that_a_node_is_gone_and_hearsay_does_not_bring_it_back() {
+fn only_the_owner_removes_a_node_and_secondhand_reports_do_not_restore_it() {
     // Arrange.
     let mut other = members(1, [0, 2, 3]);
     let gone = vec![MemberChange::Gone(name(2))];
@@ -118,26 +121,34 @@
 
     // Act.
     other.apply_heartbeat(
-        &beat(3, &members(3, []), gone.clone()),
+        &heartbeat(3, &members(3, []), gone.clone()),
         Source::Secondhand,
         NOW,
     );
-    let after_hearsay = other.get("n2").is_some();
-    other.apply_heartbeat(&beat(0, &members(0, []), gone), Source::Authoritative, NOW);
+    let after_secondhand_report = other.get("n2").is_some();
+    other.apply_heartbeat(
+        &heartbeat(0, &members(0, []), gone),
+        Source::Authoritative,
+        NOW,
+    );
     let after_the_owner = other.get("n2").is_some();
-    other.apply_heartbeat(&beat(3, &members(3, []), known), Source::Secondhand, NOW);
-    let after_more_hearsay = other.get("n2").is_some();
     other.apply_heartbeat(
-        &beat(2, &members(2, []), Vec::new()),
+        &heartbeat(3, &members(3, []), known),
+        Source::Secondhand,
+        NOW,
+    );
+    let after_another_secondhand_report = other.get("n2").is_some();
+    other.apply_heartbeat(
+        &heartbeat(2, &members(2, []), Vec::new()),
         Source::Secondhand,
         NOW,
     );
 
     // Assert.
-    assert!(after_hearsay);
+    assert!(after_secondhand_report);
     assert!(!after_the_owner);
-    assert!(!after_more_hearsay);
-    assert!(other.get("n2").is_some(), "it spoke itself");
+    assert!(!after_another_secondhand_report);
+    assert!(other.get("n2").is_some(), "n2 has sent a heartbeat itself");
 }
 
 #[test]
@@ -147,10 +158,10 @@
     let mut other = members(1, (0..20).filter(|place| *place != 1));
     exchange(&mut owner, &mut other, 1);
 
-    // Act: it tells the owner itself.
+    // Act: n5 sends the owner a heartbeat with its new address.
     let moved = Heartbeat {
         address: String::from("10.0.9.9:7000"),
-        ..beat(5, &members(5, []), Vec::new())
+        ..heartbeat(5, &members(5, []), Vec::new())
     };
     owner.apply_heartbeat(&moved, Source::Secondhand, NOW);
     exchange(&mut owner, &mut other, 1);
@@ -161,7 +172,7 @@
     assert_eq!(owner.digest(), other.digest());
 }
 
-fn unreadable() -> Vec<MemberChange> {
+fn unreadable_entry() -> Vec<MemberChange> {
     vec![MemberChange::Known {
         name: name(9),
         address: String::from("nowhere"),
@@ -169,7 +180,7 @@
     }]
 }
 
-fn a_thousand() -> Vec<MemberChange> {
+fn a_thousand_entries() -> Vec<MemberChange> {
     let known = |place: usize| MemberChange::Known {
         name: name(place),
         address: row(place).address.to_string(),
@@ -178,14 +189,14 @@
     (0..1_000).map(|place| known(place + 10)).collect()
 }
 
-fn of_our_own() -> Vec<MemberChange> {
+fn removal_of_own_name() -> Vec<MemberChange> {
     vec![MemberChange::Gone(name(1))]
 }
 
 #[parameterized(
-    unreadable_address = { unreadable(), 1, 2 },
-    far_too_many = { a_thousand(), 1_000 - MAX_CHANGES, 2 + MAX_CHANGES },
-    our_own_name = { of_our_own(), 0, 2 },
+    unreadable_address = { unreadable_entry(), 1, 2 },
+    far_too_many = { a_thousand_entries(), 1_000 - MAX_CHANGES, 2 + MAX_CHANGES },
+    our_own_name = { removal_of_own_name(), 0, 2 },
 )]
 fn bad_entries_are_counted_and_nothing_is_forgotten(
     changes: Vec<MemberChange>,
@@ -194,7 +205,7 @@
 ) {
     let mut members = members(1, [0, 2]);
     let counted = members.apply_heartbeat(
-        &beat(0, &self::members(0, []), changes),
+        &heartbeat(0, &self::members(0, []), changes),
         Source::Authoritative,
         NOW,
     );
@@ -202,14 +213,17 @@
 }
 
 #[test]
-fn a_beat_without_a_readable_address_is_refused() {
+fn a_heartbeat_without_a_readable_address_is_refused() {
     let mut members = members(1, [0]);
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         name: name(7),
         address: String::from("nowhere"),
         ..Heartbeat::default()
     };
-    assert_eq!(members.apply_heartbeat(&beat, Source::Secondhand, NOW), 1);
+    assert_eq!(
+        members.apply_heartbeat(&heartbeat, Source::Secondhand, NOW),
+        1
+    );
     assert!(members.get("n7").is_none());
 }
 
@@ -246,7 +260,7 @@
 fn an_answer_that_the_store_is_away_counts_from_when_it_was_asked_for() {
     // Arrange.
     let mut members = members(0, [1]);
-    let away = beat(1, &self::members(1, []), Vec::new());
+    let away = heartbeat(1, &self::members(1, []), Vec::new());
     let back = Heartbeat {
         reaches_store: true,
         ..away.clone()
@@ -271,12 +285,12 @@
 fn a_heartbeat_stays_small_however_many_nodes_there_are() {
     // Arrange: a node that knows nothing of what the sender knows.
     let mut owner = members(0, 1..200);
-    let plain = beat(0, &owner, Vec::new());
+    let plain = heartbeat(0, &owner, Vec::new());
     let changes = owner.changes_for("n1");
-    let full = beat(0, &owner, changes);
+    let full = heartbeat(0, &owner, changes);
 
     // Act.
-    let bytes = |beat: Heartbeat| NodeCall::Beat(beat).wire_bytes();
+    let bytes = |heartbeat: Heartbeat| NodeCall::Beat(heartbeat).wire_bytes();
     let (plain, full) = (bytes(plain), bytes(full));
 
     // Assert.
