--- a/tests/many_heartbeats.rs
+++ b/tests/many_heartbeats.rs
@@ -1,7 +1,7 @@
-//! Workers that leave are known in time however many others write their heartbeats.
+//! An owner learns in time that a worker leaves, however many other workers write heartbeats.
 //!
-//! The pattern: some thousand workers, each of whose heartbeats is a change in the store, and some
-//! of them say that they leave.  The store gives at most 500 changes in an answer.
+//! Each heartbeat of a worker is a change in the store, which returns at most 500 changes in an
+//! answer.  With a thousand workers, the change that announces a departure comes after many others.
 
 mod cell_core;
 mod virtual_node;
@@ -25,21 +25,21 @@
 use futures::future::BoxFuture;
 use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
-/// Workers that write heartbeats; the one with the label comes behind them.
+/// How many workers write heartbeats; the labelled worker has the next number.
 const OTHERS: u16 = 1_000;
-/// So many heartbeats come in [`BEAT`]: 2,000 a second.
-const BEATS: u16 = 200;
-const BEAT: Millis = 100;
-/// What only the worker has that leaves.
+/// How many heartbeats are written in each [`INTERVAL`], in milliseconds: 2,000 a second.
+const HEARTBEATS_PER_INTERVAL: u16 = 200;
+const INTERVAL: Millis = 100;
+/// The label of the worker that leaves, which no other has.
 const LABEL: &str = "only";
 
 /// Workers that count starts.
-struct Counted {
+struct CountingWorkers {
     inner: MemoryWorkers,
     starts: Arc<AtomicUsize>,
 }
 
-impl Workers for Counted {
+impl Workers for CountingWorkers {
     fn start<'a>(&'a self, order: &'a StartOrder) -> BoxFuture<'a, (StartOutcome, Option<Millis>)> {
         self.starts.fetch_add(1, Ordering::Relaxed);
         Workers::start(&self.inner, order)
@@ -61,7 +61,7 @@
     entry
 }
 
-/// A cell of many workers, and how many starts they were ordered.
+/// A cell of many workers, and the number of starts that they were sent.
 async fn large_cell() -> (VirtualNode, Arc<AtomicUsize>) {
     let starts = Arc::<AtomicUsize>::default();
     let counted = Arc::clone(&starts);
@@ -69,7 +69,7 @@
         let ids = (0..=OTHERS).map(|number| format!("w{number}"));
         let inner = MemoryWorkers::new(clock, ids);
         let starts = counted;
-        Arc::new(Counted { inner, starts })
+        Arc::new(CountingWorkers { inner, starts })
     };
     let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
     let others = (0..OTHERS).map(worker);
@@ -91,12 +91,12 @@
     node.store.commit(&tx);
 }
 
-/// All others write their heartbeats for a time.
-async fn beat(node: &VirtualNode, time: Millis) {
-    for turn in 0..time / BEAT {
-        let first = turn as u16 * BEATS % OTHERS;
-        write(node, (first..first + BEATS).map(worker));
-        tokio::time::sleep(Duration::from_millis(BEAT)).await;
+/// Lets `time` pass while the other workers write heartbeats.
+async fn write_heartbeats(node: &VirtualNode, time: Millis) {
+    for round in 0..time / INTERVAL {
+        let first = round as u16 * HEARTBEATS_PER_INTERVAL % OTHERS;
+        write(node, (first..first + HEARTBEATS_PER_INTERVAL).map(worker));
+        tokio::time::sleep(Duration::from_millis(INTERVAL)).await;
     }
 }
 
@@ -104,18 +104,18 @@
 async fn nothing_starts_on_a_worker_that_said_a_second_ago_that_it_leaves() {
     // Arrange
     let (node, starts) = large_cell().await;
-    beat(&node, 4_000).await;
+    write_heartbeats(&node, 4_000).await;
 
     // Act
     write(&node, std::iter::once(labelled(Some(5_000))));
-    beat(&node, 1_000).await;
+    write_heartbeats(&node, 1_000).await;
     let only = Step {
         label: Some(LABEL.to_owned()),
         ..step(1, 1_000)
     };
     let engine = node.shared.engine().expect("it owns the cell");
     engine.accepted(&job(1, &queue("q", 0), vec![only]));
-    beat(&node, 1_000).await;
+    write_heartbeats(&node, 1_000).await;
 
     // Assert
     assert_eq!(starts.load(Ordering::Relaxed), 0);
--- a/tests/suspended.rs
+++ b/tests/suspended.rs
@@ -1,7 +1,7 @@
-//! An owner whose VM was suspended orders nothing before its ownership is confirmed anew.
+//! An owner whose VM was suspended gives no orders before its ownership is confirmed again.
 //!
-//! Why these figures: timers stand still while a VM is suspended, and the clock of a node does
-//! not, so the window of 2 s is over at the moment of waking, whatever the timers say.
+//! Timers stop while a VM is suspended, and the clock of a node does not.  After 2.5 s, the 2 s for
+//! which a confirmation is valid are over at the moment of waking, whatever the timers show.
 
 mod virtual_node;
 
@@ -28,7 +28,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_owner_that_wakes_is_confirmed_before_it_orders_anything() {
-    // Arrange: an owner whose store is away from the moment of waking on.
+    // Arrange: an owner whose store is unavailable from the moment of waking on.
     let clock = Arc::new(SuspendedClock {
         awake: RuntimeClock(Instant::now()),
         asleep: AtomicU64::new(0),
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,5 +1,5 @@
-//! How soon a successor acts when the store is slow: leases on the workers run out after 3.5 s,
-//! of which the silence of the former owner and the claim take more than one.
+//! How soon a successor acts when the store is slow.  Leases on the workers expire after 3.5 s, and
+//! the silence of the former owner and the claim take more than 1 s of that.
 
 mod cell_core;
 mod virtual_node;
@@ -26,26 +26,26 @@
 use virtual_node::{VirtualNode, claim, set_up_cell, virtual_node_with_workers};
 
 /// How long a slow store takes for each answer, in milliseconds.
-const ANSWER: u64 = 400;
+const ANSWER_MS: u64 = 400;
 /// The workers of a large site.
 const WORKERS: u16 = 1_100;
-/// Jobs whose ends are kept.
-const ENDED: u64 = 1_500;
+/// How many ended jobs the store holds.
+const ENDED_JOBS: u64 = 1_500;
 
-/// What was ordered, by kind.
+/// How many orders the workers were sent, by kind.
 #[derive(Default)]
 struct Orders {
-    looks: usize,
+    polls: usize,
     starts: usize,
 }
 
-/// Workers that count what is ordered.
-struct Counted {
+/// Workers that count polls and starts.
+struct CountingWorkers {
     inner: MemoryWorkers,
     orders: Arc<Mutex<Orders>>,
 }
 
-impl Workers for Counted {
+impl Workers for CountingWorkers {
     fn start<'a>(&'a self, order: &'a StartOrder) -> BoxFuture<'a, (StartOutcome, Option<Millis>)> {
         self.orders.lock().expect("orders").starts += 1;
         Workers::start(&self.inner, order)
@@ -56,7 +56,7 @@
     }
 
     fn poll<'a>(&'a self, order: &'a PollOrder) -> BoxFuture<'a, Result<PollReport, PollFailure>> {
-        self.orders.lock().expect("orders").looks += 1;
+        self.orders.lock().expect("orders").polls += 1;
         self.inner.poll(order)
     }
 }
@@ -67,7 +67,8 @@
 }
 
 impl Bed {
-    /// The node claims the cell; tells how long it took until it owns it.
+    /// The node claims the cell and loads it.  Returns its engine and how long loading took, in
+    /// milliseconds.
     async fn take_over(&self, epoch: u64) -> (Arc<Engine>, u64) {
         let version = claim(&self.node.store, "n0", 7, epoch);
         let began = Instant::now();
@@ -78,8 +79,8 @@
         (engine, took)
     }
 
-    fn looks(&self) -> usize {
-        self.orders.lock().expect("orders").looks
+    fn polls(&self) -> usize {
+        self.orders.lock().expect("orders").polls
     }
 
     fn starts(&self) -> usize {
@@ -95,7 +96,7 @@
     tokio::time::sleep(Duration::from_millis(time)).await;
 }
 
-/// A large cell with the ends of many jobs, whose owner has recorded its roster and is gone.
+/// A large cell with many ended jobs, whose owner has recorded its roster and is gone.
 async fn large_cell() -> Bed {
     let orders = Arc::<Mutex<Orders>>::default();
     let counted = Arc::clone(&orders);
@@ -103,12 +104,12 @@
         let ids = (0..WORKERS).map(|number| format!("w{number}"));
         let inner = MemoryWorkers::new(clock, ids);
         let orders = counted;
-        Arc::new(Counted { inner, orders })
+        Arc::new(CountingWorkers { inner, orders })
     };
     let node = virtual_node_with_workers(&[], workers, Arc::new(JsonDecoder));
     let entries: Vec<_> = (0..WORKERS).map(worker).collect();
     set_up_cell(&node, &[queue("q", 0)], &entries);
-    keep_ends(&node);
+    add_ended_jobs(&node);
     let bed = Bed { node, orders };
     let (engine, _) = bed.take_over(1).await;
     pass(1_000).await;
@@ -116,8 +117,8 @@
     bed
 }
 
-/// The store holds what was recorded of many jobs.
-fn keep_ends(node: &VirtualNode) {
+/// Writes the progress of [`ENDED_JOBS`] ended jobs to the store.
+fn add_ended_jobs(node: &VirtualNode) {
     let progress = JobProgress {
         state: JobState::Succeeded,
         tasks: Vec::new(),
@@ -125,7 +126,7 @@
         workspace: None,
     };
     let mut tx = Transaction::default();
-    for id in 0..ENDED {
+    for id in 0..ENDED_JOBS {
         let key = format!("{:016x}", id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let key = RowKey::new(Table::Progress, CELL_PARTITION, &key);
         tx.puts.push((key, encode(&progress)));
@@ -137,18 +138,18 @@
 async fn a_successor_waits_for_one_answer_of_a_slow_store() {
     // Arrange.
     let bed = large_cell().await;
-    bed.set_delay(ANSWER);
+    bed.set_delay(ANSWER_MS);
 
     // Act.
     let (_, took) = bed.take_over(2).await;
 
-    // Assert: it has asked every worker of the roster at once.
-    assert!(took < 2 * ANSWER, "{took} ms");
-    let before = bed.looks();
+    // Assert: after one answer it polls the workers of its roster at once.
+    assert!(took < 2 * ANSWER_MS, "{took} ms");
+    let before = bed.polls();
     pass(50).await;
     assert!(
-        bed.looks() - before >= usize::from(WORKERS) / 2,
-        "workers are looked at"
+        bed.polls() - before >= usize::from(WORKERS) / 2,
+        "too few workers were polled"
     );
 }
 
@@ -156,12 +157,12 @@
 async fn nothing_is_placed_before_the_list_of_workers_has_come() {
     // Arrange.
     let bed = large_cell().await;
-    bed.set_delay(ANSWER);
+    bed.set_delay(ANSWER_MS);
     let (engine, _) = bed.take_over(2).await;
     engine.accepted(&job(7, &queue("q", 0), vec![step(3, 1_000)]));
 
     // Act.
-    pass(ANSWER).await;
+    pass(ANSWER_MS).await;
     let early = bed.starts();
     pass(6_000).await;
 
