--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -1,10 +1,11 @@
-//! Random runs of the scheduling core: several owners one after the other, workers in
-//! memory, and every kind of message loss between them.  Calls and answers take their time, so
-//! several looks, starts and stops are on their way at once and overtake one another.
+//! Randomised tests of the scheduling core: several owners one after the other, workers in memory,
+//! and all kinds of message loss between them.  Calls and answers are delayed, so several polls,
+//! starts and stops are in flight at once and overtake one another.  Invariants are checked on what
+//! the workers ran.
 //!
-//! `CROSSWEIR_SEED=1000 CROSSWEIR_RUNS=500 cargo test --release --test chaos` plays other
-//! seeds; a failure names its seed.  What must hold is checked on what the workers did.
-//! With `RUST_LOG=debug` the core's log is printed, and what happens to workers and owners.
+//! `CROSSWEIR_SEED=1000 CROSSWEIR_RUNS=500 cargo test --release --test chaos` runs other seeds;
+//! each seed is printed before its run.  `RUST_LOG=debug` prints the log of the core, and what
+//! happens to workers and owners.
 
 mod cell_core;
 mod halls;
@@ -13,27 +14,28 @@
 
 use random_world::{World, number, print_log};
 
-/// Seeds that CI plays unless it is told others.
+/// The seeds that are run by default.
 const FIRST_SEED: u64 = 1;
 const RUNS: u64 = 40;
-/// Of those so many are played twice in each world.
+/// How many of these seeds are run twice in each world.
 const REPEATED: u64 = 8;
 
-/// Seeds with crashing tasks that once showed a fault: jobs given up after one crash, by a sibling's or
-/// a young run's blame, and culprits started six times over owners lost soon after each crash.
+/// Seeds of worlds with crashing tasks that once failed: jobs failed after one crash, for which a
+/// task of the same job or a run that had just begun was blamed, and crashing tasks were started
+/// six times since owners were lost soon after each crash.
 const FORMER_FAULTS: [u64; 16] = [
     6, 17, 20, 33, 329, 446, 643, 855, 1_448, 2_486, 3_404, 4_515, 4_642, 7_844, 8_810, 11_450,
 ];
 
-/// Seeds with workers that start again under their ids that once showed a fault, and whether tasks
-/// crash their workers: a lease for another clock that outlived what a successor waited for, and
-/// room that late starts had taken on a life which no look had reached, or were taking still when
-/// the worker was used again.
+/// Seeds of worlds whose workers restart under the same ids that once failed, and whether some
+/// tasks crash their workers.  A lease for another life's clock lasted longer than a successor
+/// waited, and late starts held resources on a life that no poll had reached, or still did when the
+/// worker was used again.
 const FORMER_FAULTS_OF_KEPT_IDS: [(u64, bool); 3] =
     [(17_253, false), (11_872, true), (37_386, false)];
 
 #[test]
-fn promises_hold_under_random_faults() {
+fn invariants_hold_under_random_faults() {
     print_log();
     let first = number("CROSSWEIR_SEED", FIRST_SEED);
     for seed in first..first + number("CROSSWEIR_RUNS", RUNS) {
@@ -44,9 +46,10 @@
     }
 }
 
-/// A seed whose play was another one in each process was no proof of a fault or of its mend.
+/// A run that differs between executions with one seed can neither reproduce a fault nor show that
+/// it is fixed.
 #[test]
-fn a_seed_plays_the_same_day_each_time() {
+fn a_seed_gives_the_same_run_each_time() {
     for seed in FIRST_SEED..FIRST_SEED + REPEATED {
         let worlds: [fn(u64) -> World; 6] = [
             World::new,
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn a_culprit_over_many_owners_is_not_started_a_sixth_time() {
+fn a_crashing_task_is_not_started_a_sixth_time_over_many_owners() {
     play_with_crashing_tasks(4_225);
 }
 
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn promises_hold_while_workers_start_again_under_their_ids() {
+fn invariants_hold_while_workers_restart_under_their_ids() {
     print_log();
     let first = number("CROSSWEIR_SEED", FIRST_SEED);
     for seed in first..first + number("CROSSWEIR_RUNS", RUNS) {
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_culprit_on_workers_of_kept_ids_is_not_started_a_sixth_time() {
+fn a_crashing_task_is_not_started_a_sixth_time_on_workers_with_kept_ids() {
     play_with_kept_ids(50_338, true);
 }
 
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn promises_hold_while_entries_of_former_lives_come_back() {
+fn invariants_hold_while_entries_of_former_lives_come_back() {
     print_log();
     let first = number("CROSSWEIR_SEED", FIRST_SEED);
     for seed in first..first + number("CROSSWEIR_RUNS", RUNS) {
@@ -187,7 +190,8 @@
     seeds.for_each(play_with_crashing_tasks_and_late_entries);
 }
 
-/// A task whose recorded start was dropped waited for the next round, and was given up after one crash.
+/// Guards against a task that waits for the next scheduling round after its recorded start was
+/// dropped: its job failed after one crash.
 #[test]
 fn a_recorded_start_that_is_dropped_is_decided_on_anew_in_the_same_round() {
     play_with_crashing_tasks_and_late_entries(611_131);
@@ -213,7 +217,7 @@
 }
 
 #[test]
-fn promises_hold_while_idle_workers_are_parked() {
+fn invariants_hold_while_idle_workers_are_parked() {
     print_log();
     let first = number("CROSSWEIR_SEED", FIRST_SEED);
     for seed in first..first + number("CROSSWEIR_RUNS", RUNS) {
--- a/tests/halls/mod.rs
+++ b/tests/halls/mod.rs
@@ -1,4 +1,4 @@
-//! Halls that an operator evacuates and takes back while random runs go on.
+//! Fixture: an operator who evacuates data halls and takes them back in a simulated cell.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,65 +8,68 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// The halls in which workers stand by turns.
+/// The halls, to which the workers are assigned by turns.
 pub const HALLS: [&str; 2] = ["north", "south"];
-/// An owner hears of a change within this.
-pub const MOST_TOLD: Millis = 1_000;
+/// Longest time until an owner knows of a change, in milliseconds.
+pub const MAX_NOTICE_DELAY: Millis = 1_000;
 
-/// What the operator has ordered, and what the owner has heard of it.
+/// The evacuations in the store, and what the owner knows of them.
 #[derive(Default)]
 pub struct Operator {
-    /// The halls that are evacuated, and since when.
-    ordered: BTreeMap<&'static str, Millis>,
-    told: Arc<Halls>,
-    to_tell: Vec<(Millis, Arc<Halls>)>,
+    /// The evacuated halls, and since when each is.
+    evacuated: BTreeMap<&'static str, Millis>,
+    known: Arc<Halls>,
+    /// Changes that the owner does not know yet: from when on it does, and all halls evacuated
+    /// then.
+    unread_changes: Vec<(Millis, Arc<Halls>)>,
 }
 
 impl Operator {
-    /// A hall is evacuated, or taken back if it was.
-    pub fn order(&mut self, rng: &mut StdRng, now: Millis) {
+    /// Evacuates a random hall, or takes it back if it is evacuated.
+    pub fn toggle_hall(&mut self, rng: &mut StdRng, now: Millis) {
         let hall = HALLS[rng.random_range(0..HALLS.len())];
-        if self.ordered.remove(hall).is_none() {
-            self.ordered.insert(hall, now);
+        if self.evacuated.remove(hall).is_none() {
+            self.evacuated.insert(hall, now);
         }
-        let delay = rng.random_range(0..MOST_TOLD);
-        self.to_tell.push((now + delay, self.present()));
+        let delay = rng.random_range(0..MAX_NOTICE_DELAY);
+        self.unread_changes
+            .push((now + delay, self.evacuated_halls()));
     }
 
-    /// All halls are taken back, and that is known.
-    pub fn take_all_back(&mut self) {
+    /// Takes all halls back; the owner knows at once.
+    pub fn reopen_all(&mut self) {
         *self = Self::default();
     }
 
-    /// What the store holds.
-    pub fn present(&self) -> Arc<Halls> {
-        let halls = self.ordered.keys();
+    /// The evacuated halls in the store.
+    pub fn evacuated_halls(&self) -> Arc<Halls> {
+        let halls = self.evacuated.keys();
         Arc::new(halls.map(|&hall| hall.to_owned()).collect())
     }
 
-    /// What the owner knows now.  A newer change is never told before an older one.
-    pub fn told(&mut self, now: Millis) -> Arc<Halls> {
-        let due = self.to_tell.iter().rposition(|(at, _)| *at <= now);
+    /// The evacuated halls that the owner knows of.  It learns of changes in their order.
+    pub fn known_halls(&mut self, now: Millis) -> Arc<Halls> {
+        let due = self.unread_changes.iter().rposition(|(at, _)| *at <= now);
         if let Some(place) = due {
-            self.told = self
-                .to_tell
+            self.known = self
+                .unread_changes
                 .drain(..=place)
                 .next_back()
                 .expect("the last one")
                 .1;
         }
-        Arc::clone(&self.told)
+        Arc::clone(&self.known)
     }
 
-    /// A successor reads what the store holds.
-    pub fn read(&mut self) -> Arc<Halls> {
-        self.to_tell.clear();
-        self.told = self.present();
-        Arc::clone(&self.told)
+    /// A new owner reads the store.
+    pub fn read_store(&mut self) -> Arc<Halls> {
+        self.unread_changes.clear();
+        self.known = self.evacuated_halls();
+        Arc::clone(&self.known)
     }
 
-    /// Since when a hall is evacuated, if it is.
+    /// Since when a hall is evacuated; `None` if it is not.
     pub fn evacuated_since(&self, hall: &str) -> Option<Millis> {
-        self.ordered.get(hall).copied()
+        self.evacuated.get(hall).copied()
     }
 }
--- a/tests/lost_owners.rs
+++ b/tests/lost_owners.rs
@@ -1,8 +1,8 @@
-//! Random runs whose owners are lost at dangerous moments, within 20 to 400 ms of each.
+//! Randomised tests in which owners are lost within 20 to 400 ms of events that only they know of.
 //!
 //! `CROSSWEIR_SEED=1000 CROSSWEIR_RUNS=500 CROSSWEIR_SPAN=60 cargo test --release --test lost_owners`
-//! plays other seeds and one span; a failure names each seed that failed.  What must hold is the same
-//! as in `tests/chaos.rs`.
+//! runs other seeds, with one span; a failure names each seed that failed.  The invariants are those
+//! of `tests/chaos.rs`.
 
 mod cell_core;
 mod halls;
@@ -15,13 +15,13 @@
 use random_world::{Moment, World, number, print_log};
 use yare::parameterized;
 
-/// Seeds that CI plays unless it is told others, for each moment and world.
+/// The seeds that are run by default, for each moment and kind of world.
 const FIRST_SEED: u64 = 1;
 const RUNS: u64 = 4;
-/// An owner is lost within one of these of a moment, by the seed.
+/// An owner is lost within one of these times of a moment, in milliseconds; the seed selects which.
 const SPANS: [Millis; 4] = [20, 60, 150, 400];
 
-/// What a world is made of.
+/// Kinds of worlds.
 #[derive(Debug, Clone, Copy)]
 enum Kind {
     Plain,
@@ -77,12 +77,12 @@
         let span = SPANS[seed as usize % SPANS.len()];
         let span = number("CROSSWEIR_SPAN", span);
         let world = self.world(seed).losing_owners(seed, moments, span);
-        let mut world = world.with_a_poor_store(seed);
+        let mut world = world.with_unreliable_store(seed);
         world.play();
         self.verify(&world);
     }
 
-    /// Plays all seeds, whichever of them fail, and tells which did.
+    /// Runs all seeds, even after failures, and returns those that failed.
     fn failing_seeds(self, moments: &[Moment]) -> Vec<u64> {
         let first = number("CROSSWEIR_SEED", FIRST_SEED);
         let seeds = first..first + number("CROSSWEIR_RUNS", RUNS);
@@ -127,18 +127,18 @@
     evacuations = { Kind::Evacuations },
     parking = { Kind::Parking },
 )]
-fn promises_hold_while_owners_are_lost_at_any_of_these_moments(kind: Kind) {
+fn invariants_hold_while_owners_are_lost_at_any_of_these_moments(kind: Kind) {
     play_all(&[kind], &Moment::ALL);
 }
 
-/// Days on which a task was started a sixth time, since owners were lost within 60 or 150 ms of its
-/// starts and their successors could not read the row of its job.
+/// Guards against a sixth start of a crashing task whose owners are lost within 60 or 150 ms of its
+/// crashes, while their successors cannot read the row of its job.
 #[parameterized(
     two_owners_after_unread_rows = { 700_700, 60 },
     another_two = { 707_869, 60 },
     a_longer_span = { 701_849, 150 },
 )]
-fn a_culprit_whose_owners_are_lost_is_not_started_a_sixth_time(seed: u64, span: Millis) {
+fn a_crashing_task_whose_owners_are_lost_is_not_started_a_sixth_time(seed: u64, span: Millis) {
     let world = World::with_crashing_tasks(seed);
     let mut world = world.losing_owners(seed, &[Moment::Crash], span);
     world.play();
@@ -146,8 +146,9 @@
     world.verify_starts_of_culprits();
 }
 
-/// A start that comes seconds late was carried out by a next life of its id that no look had reached, and
-/// one more was forgotten with its owner: the task was started a sixth time.
+/// Guards against a sixth start of a crashing task: one start arrives seconds late and is executed
+/// by the next life of its worker, which no poll has reached, and another one is forgotten with its
+/// owner.
 #[test]
 fn a_start_that_a_next_life_carries_out_late_makes_no_sixth_one() {
     Kind::CrashingTasksOnKeptIds.play(47_477, &Moment::ALL);
--- a/tests/random_world/checks.rs
+++ b/tests/random_world/checks.rs
@@ -1,7 +1,7 @@
-//! What must hold, checked on what the workers did.
+//! Invariants, checked on what the workers ran.
 
-use super::{ATTEMPTS, MOST_CRASHES, WAY, World, held_by, worker_with_gpus};
-use crate::halls::MOST_TOLD;
+use super::{ATTEMPTS, MAX_MESSAGE_DELAY, MOST_CRASHES, World, held_by, worker_with_gpus};
+use crate::halls::MAX_NOTICE_DELAY;
 use crate::lives::WorkerLife;
 use crossweir::cell::job::JobState;
 use crossweir::cell::name::TaskName;
@@ -13,7 +13,8 @@
 use std::collections::BTreeMap;
 
 impl World {
-    /// Nothing is started in a hall that has been evacuated for as long as the owner needs to hear.
+    /// Nothing is started in a hall that was evacuated more than [`MAX_NOTICE_DELAY`] ago: by then
+    /// the owner knows of it.
     pub(super) fn check_hall(&self, order: &StartOrder) {
         let entry = self
             .entries
@@ -23,7 +24,7 @@
             .zip(self.operator.as_ref())
             .and_then(|(entry, operator)| operator.evacuated_since(&entry.hall));
         assert!(
-            since.is_none_or(|since| self.now <= since + MOST_TOLD),
+            since.is_none_or(|since| self.now <= since + MAX_NOTICE_DELAY),
             "{} starts at {} on {}, whose hall was evacuated at {since:?}",
             order.task,
             self.now,
@@ -31,50 +32,52 @@
         );
     }
 
-    /// No start lifts what a workspace has running above its cap.  One that was decided under a
-    /// former cap may be carried out while its time lasts.
+    /// No start raises the running demand of a workspace above its cap.  A start that was decided
+    /// under a former cap may still be executed while it is valid.
     pub(super) fn check_cap(&self, order: &StartOrder) {
-        let Some(team) = self.team_of(order.task.step.job.0) else {
+        let Some(workspace) = self.workspace_of(order.task.step.job.0) else {
             return;
         };
         let runs = self.workers.values().flat_map(WorkerLife::runs);
         let running = runs.filter(|run| run.ended.is_none());
-        let of_team = running.filter(|run| {
-            let other = self.team_of(run.task.step.job.0);
-            other.is_some_and(|other| other.name == team.name)
+        let of_workspace = running.filter(|run| {
+            let other = self.workspace_of(run.task.step.job.0);
+            other.is_some_and(|other| other.name == workspace.name)
         });
-        let held = held_by(&self.rows, of_team);
-        let followed_at = |place: usize| self.caps.get(place + 1).map(|(at, _)| *at);
+        let held = held_by(&self.rows, of_workspace);
+        let replaced_at = |place: usize| self.caps.get(place + 1).map(|(at, _)| *at);
         let mut in_force = self.caps.iter().enumerate().filter(|(place, _)| {
-            followed_at(*place).is_none_or(|at| at + tuning::START_VALIDITY + WAY >= self.now)
+            replaced_at(*place)
+                .is_none_or(|at| at + tuning::START_VALIDITY + MAX_MESSAGE_DELAY >= self.now)
         });
         let admits = |list: &[Workspace]| {
-            let described = list.iter().find(|other| other.name == team.name);
+            let described = list.iter().find(|other| other.name == workspace.name);
             described.is_some_and(|described| described.admits(&held))
         };
         assert!(
             in_force.any(|(_, (_, list))| admits(list)),
             "{} holds {held:?} at {} after {}, of {:?}",
-            team.name,
+            workspace.name,
             self.now,
             order.task,
             self.caps.last()
         );
     }
 
-    /// What the worker forgets by this look counts as known to the owner for good.
-    pub(super) fn note_forgotten(&mut self, order: &PollOrder) {
+    /// The ends that this poll tells the worker to forget count as known to the owner from now on.
+    pub(super) fn note_acknowledged_ends(&mut self, order: &PollOrder) {
         let listed = self.listed.get(&order.to.life.id).into_iter().flatten();
         for end in listed.filter(|end| end.end_number <= order.forget && end.how == EndKind::Done) {
-            self.noted.entry(end.task).or_insert(self.now);
-            if !self.has_lapsed_since(&order.to.life.id, end) {
-                self.noted_runs.insert((end.task, end.number));
+            self.acknowledged_tasks.entry(end.task).or_insert(self.now);
+            if !self.lease_expired_since(&order.to.life.id, end) {
+                self.acknowledged_runs.insert((end.task, end.number));
             }
         }
     }
 
-    /// What a worker forgets counts as known to the owner, also if that has never read it.
-    pub(super) fn note_unread(&mut self, order: &PollOrder) {
+    /// The ends that the worker forgets when this poll arrives count as known to the owner, even if
+    /// no owner has ever read them.
+    pub(super) fn note_ends_dropped_by_worker(&mut self, order: &PollOrder) {
         let Some(worker) = self.workers.get_mut(&order.to.life.id) else {
             return;
         };
@@ -88,43 +91,48 @@
             .cloned()
             .collect();
         for end in ends {
-            if self.has_lapsed_since(&order.to.life.id, &end) {
+            if self.lease_expired_since(&order.to.life.id, &end) {
                 continue;
             }
             match end.how {
-                EndKind::Done => self.noted_runs.insert((end.task, end.number)),
-                EndKind::Failed => self.noted_failures.insert((end.task, end.number)),
+                EndKind::Done => self.acknowledged_runs.insert((end.task, end.number)),
+                EndKind::Failed => self.acknowledged_failures.insert((end.task, end.number)),
                 _ => false,
             };
         }
     }
 
-    /// A start that was meant for a former life may be carried out by one that the owner has not
-    /// reached yet: nothing that it sends is there before.  No run after it may come of that.
-    pub(super) fn note_astray(&mut self, order: &StartOrder) {
+    /// Notes a start that was meant for a former life of the worker and executed by the present
+    /// one.  This may happen only before the owner's first poll reaches the present life: nothing
+    /// else that the owner sends reaches it earlier, and after that poll the life refuses such
+    /// starts.
+    pub(super) fn note_start_by_wrong_life(&mut self, order: &StartOrder) {
         let life = &order.to.life;
         let present = self.entries.iter().find(|entry| entry.life.id == life.id);
         let Some(present) = present.filter(|entry| entry.life.differs_from(life.born)) else {
             return;
         };
         assert!(
-            !self.reached.contains(&present.life),
-            "{} was started late by {}, which had been reached",
+            !self.polled_lives.contains(&present.life),
+            "{} was meant for a former life and started by {}, which a poll had reached",
             order.task,
             present.life,
         );
-        self.astray.insert((order.task, order.number, self.now));
+        self.starts_by_wrong_life
+            .insert((order.task, order.number, self.now));
     }
 
-    /// No worker holds more than it has, at any moment.
+    /// No worker runs more than its capacity holds, at any moment.
     pub(super) fn check(&mut self) {
         assert_eq!(self.owner.cell.ledger_errors(), 0, "at {}", self.now);
         for (id, worker) in &mut self.workers {
             worker.settle(self.now);
             let running = worker.runs().filter(|run| run.ended.is_none());
-            let is_astray =
-                |run: &RunRecord| self.astray.contains(&(run.task, run.number, run.began));
-            let held = held_by(&self.rows, running.filter(|run| !is_astray(run)));
+            let is_by_wrong_life = |run: &RunRecord| {
+                self.starts_by_wrong_life
+                    .contains(&(run.task, run.number, run.began))
+            };
+            let held = held_by(&self.rows, running.filter(|run| !is_by_wrong_life(run)));
             let capacity = worker_with_gpus(0).capacity;
             assert!(held.fits(&capacity), "{id} holds {held:?} at {}", self.now);
         }
@@ -137,23 +145,30 @@
         })
     }
 
-    /// What all workers have run, but for starts that nobody could keep from being carried out.
+    /// All runs of all workers, without starts by a wrong life, which nobody could prevent.
     pub(super) fn runs(&self) -> impl Iterator<Item = RunRecord> {
-        let lives = self.workers.values().chain(&self.graves);
-        let is_astray = |run: &RunRecord| self.astray.contains(&(run.task, run.number, run.began));
+        let lives = self.workers.values().chain(&self.ended_lives);
+        let is_by_wrong_life = |run: &RunRecord| {
+            self.starts_by_wrong_life
+                .contains(&(run.task, run.number, run.began))
+        };
         lives
             .flat_map(WorkerLife::runs)
-            .filter(move |run| !is_astray(run))
+            .filter(move |run| !is_by_wrong_life(run))
     }
 
-    /// What all workers did, checked as a whole.
+    /// Checks the runs of all workers: every job has ended, no task ran twice at once, none ran
+    /// again after its successful end was known to the owner, and steps ran in order.
     pub fn verify(&self) {
         assert!(self.is_done(), "{:?}", self.open_jobs());
         let mut runs: BTreeMap<TaskName, Vec<(Millis, Millis, EndKind)>> = BTreeMap::new();
-        // When the first of a task's runs had ended whose end was noted.
+        // When a task's first run with an acknowledged successful end had ended.
         let mut done: BTreeMap<TaskName, Millis> = BTreeMap::new();
         for record in self.runs() {
-            if self.noted_runs.contains(&(record.task, record.number)) {
+            if self
+                .acknowledged_runs
+                .contains(&(record.task, record.number))
+            {
                 let (ended, _) = record.ended.expect("a run that has ended");
                 let first = done.entry(record.task).or_insert(ended);
                 *first = ended.min(*first);
@@ -163,7 +178,8 @@
             task.push((record.began, ended, how));
         }
         for (task, mut of_task) in runs {
-            // One that begins and ends within an instant goes before what begins in that instant.
+            // A run that begins and ends in one instant sorts before a run that begins in that
+            // instant.
             of_task.sort_unstable_by_key(|run| (run.0, run.1));
             for pair in of_task.windows(2) {
                 let (_, former_end, _) = pair[0];
@@ -180,21 +196,21 @@
                 );
             }
             self.verify_order(task, &of_task);
-            if let Some(noted) = self.noted.get(&task) {
+            if let Some(acknowledged) = self.acknowledged_tasks.get(&task) {
                 let last = of_task[of_task.len() - 1].0;
                 assert!(
-                    last <= noted + tuning::START_VALIDITY,
-                    "{task} ran again after its end was noted at {noted}: {of_task:?}"
+                    last <= acknowledged + tuning::START_VALIDITY,
+                    "{task} ran again after its end was acknowledged at {acknowledged}: {of_task:?}"
                 );
             }
         }
     }
 
-    /// A task is not started again once it has failed as often as it may.
+    /// A task is not started again after it has failed [`ATTEMPTS`] times.
     pub fn verify_attempts(&self) {
         let mut failed: BTreeMap<TaskName, Vec<Millis>> = BTreeMap::new();
         for run in self.runs() {
-            if self.noted_failures.contains(&(run.task, run.number)) {
+            if self.acknowledged_failures.contains(&(run.task, run.number)) {
                 let (ended, _) = run.ended.expect("a run that has ended");
                 failed.entry(run.task).or_default().push(ended);
             }
@@ -213,8 +229,8 @@
         }
     }
 
-    /// A task that crashes its workers is not started without end, and no job is given up but
-    /// for a task under which two workers have crashed.
+    /// The starts of a crashing task are limited, and a job fails only if two workers have crashed
+    /// while one of its tasks ran there.
     pub fn verify_crashes(&self) {
         self.verify_starts_of_culprits();
         for (id, progress) in &self.progress {
@@ -223,33 +239,38 @@
             let most = of_job.map(|(_, crashes)| *crashes).max().unwrap_or(0);
             assert!(
                 progress.state != JobState::Failed || most >= 2,
-                "{id} was given up after {most} crashes"
+                "{id} failed after {most} crashes"
             );
         }
     }
 
-    /// No task that crashes its workers is started more often than it may be.
+    /// No crashing task is started more than [`MOST_CRASHES`] times.
     pub fn verify_starts_of_culprits(&self) {
         for (task, starts) in &self.crash_starts {
             assert!(*starts <= MOST_CRASHES, "{task} was started {starts} times");
         }
     }
 
-    /// A start that its owner alone knows of is forgotten if that is lost.  One that comes so late that
-    /// a next life carries it out is not covered (docs/DESIGN.md, "Tasks that crash their workers").
-    pub(super) fn note_unrecorded(&mut self, order: &StartOrder) {
+    /// Notes a start that only its owner knows of, and that is forgotten if the owner is lost.  A
+    /// start that arrives so late that the next life executes it is not covered (docs/DESIGN.md,
+    /// "Tasks that crash their workers").
+    pub(super) fn note_unrecorded_start(&mut self, order: &StartOrder) {
         if !self.entries.iter().any(|entry| entry.life == order.to.life) {
             return;
         }
         if !self.recorded_runs.contains(&order.number) {
             let owner = order.number / tuning::RUNS_PER_EPOCH;
-            self.unrecorded.entry(order.task).or_default().insert(owner);
+            self.unrecorded_start_epochs
+                .entry(order.task)
+                .or_default()
+                .insert(owner);
         }
     }
 
-    /// Of the owners that are lost one at most forgets starts of a task: the others record them first.
+    /// At most one lost owner has started a task without recording it: later owners record its
+    /// starts first.
     pub fn verify_forgotten_starts(&self) {
-        for (task, owners) in &self.unrecorded {
+        for (task, owners) in &self.unrecorded_start_epochs {
             assert!(
                 owners.len() <= 1,
                 "{task} was started unrecorded by {owners:?}"
@@ -257,14 +278,15 @@
         }
     }
 
-    /// A step begins only when the one before it is done.
+    /// A task of the second step begins only after all tasks of the first step have succeeded.  In
+    /// a gang, the success of one member counts for all.
     pub(super) fn verify_order(&self, task: TaskName, of_task: &[(Millis, Millis, EndKind)]) {
         if task.step.step == 0 {
             return;
         }
         let first = of_task[0].0;
         let row = &self.rows[&task.step.job.0];
-        let lives = || self.workers.values().chain(&self.graves);
+        let lives = || self.workers.values().chain(&self.ended_lives);
         let gang = row.spec.steps[0].gang;
         let done = |index: u32| {
             lives().flat_map(WorkerLife::runs).any(|run| {
--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -1,17 +1,17 @@
-//! Fixture: a cell of four workers and one owner after the other, in a day of random faults that its
-//! seed decides.  Calls and answers take their time, so several looks, starts and stops are on their
-//! way at once and overtake one another.
+//! Fixture: a simulated cell of four workers and one owner after the other, with random faults that
+//! the seed of the world determines.  Calls and answers are delayed, so several polls, starts and
+//! stops are in flight at once and overtake one another.
 //!
-//! What must hold is checked on what the workers did (`checks`).
+//! Invariants are checked on what the workers ran (`checks`).
 #![allow(dead_code, unused_imports)]
 
-mod aim;
 mod checks;
+mod owner_loss;
 mod settings;
 mod wire;
 mod workers;
 
-pub use aim::Moment;
+pub use owner_loss::Moment;
 pub use settings::{number, print_log};
 
 use crate::cell_core::{
@@ -19,7 +19,6 @@
 };
 use crate::halls::{HALLS, Operator};
 use crate::lives::WorkerLife;
-use aim::Aim;
 use crossweir::cell::job::JobState;
 use crossweir::cell::life::Life;
 use crossweir::cell::name::TaskName;
@@ -35,6 +34,7 @@
 use crossweir::embedded::worker::{MemoryWorker, RunRecord};
 use crossweir::queue::{Configuration, Queue};
 use crossweir::workspace::Workspace;
+use owner_loss::OwnerLoss;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,50 +42,53 @@
 
 const WORKERS: u16 = 4;
 const TICK: Millis = 20;
-/// Trouble lasts so long; what is left must then be done within [`QUIET`].
-const TROUBLE: Millis = 20_000;
-const QUIET: Millis = 60_000;
-/// The most that an order is late.
-const MOST_LATE: Millis = 12_000;
-/// The most that a call or its answer takes on its way, unless it is lost.
-const WAY: Millis = 120;
-/// The most that a look is held at a worker, as `tuning::POLL_WAIT`.
-const HELD: Millis = 600;
-/// How long the owner waits for the answer to a start or stop, as the adapter does.
+/// How long faults occur; the remaining jobs must then end within [`RECOVERY_TIME`].
+const FAULT_TIME: Millis = 20_000;
+const RECOVERY_TIME: Millis = 60_000;
+/// Longest delay of an order that was given up as unanswered.
+const MAX_ORDER_DELAY: Millis = 12_000;
+/// Longest delay of a call or an answer that is not lost.
+const MAX_MESSAGE_DELAY: Millis = 120;
+/// Longest time that a worker holds a poll open, as `tuning::POLL_WAIT`.
+const MAX_POLL_HOLD: Millis = 600;
+/// How long the owner waits for the answer to a start or stop, as the platform adapter does.
 const ORDER_TIMEOUT: Millis = 250;
-/// Tasks run no longer than this.
-const LONGEST: u64 = 1_500;
-/// Where workers start again under their ids, tasks run longer than a call and its answer take, as all
-/// do that the users hand in: a look that overtakes a whole run and its start's answer could make
-/// the next life forget what nobody can know of (docs/FINDINGS.md, "Lives").
-const SHORTEST: u64 = 300;
-/// The text of tasks that crash each worker that starts them.
-const CRASH: &str = "crash";
-/// A worker that has crashed under such a task is back within this.
-const MOST_DOWN: Millis = 6_000;
-/// A worker that starts again under its id is back within this, three in ten at once, and is
-/// listed within [`MOST_UNLISTED`] of that.
-const MOST_AWAY: Millis = 3_000;
-const MOST_UNLISTED: Millis = 1_000;
-/// A write that a life had on its way as it ended reaches the store so late at most.
-const MOST_LATE_ENTRY: Millis = 3_000;
-/// Each worker writes its entry so often, and it is dropped after three times of silence.
+/// Run times of tasks are below this, in milliseconds.
+const MAX_RUN_TIME: u64 = 1_500;
+/// Shortest run time, in milliseconds, where workers restart under the same ids.  It is longer than
+/// a call and its answer take, as it is for all tasks that users submit: a poll that overtakes a
+/// whole run and the answer to its start could make the next life forget an end that nobody can
+/// know of (docs/FINDINGS.md, "Lives").
+const MIN_RUN_TIME: u64 = 300;
+/// The text of crashing tasks: each worker that starts one crashes.
+const CRASHING_TASK: &str = "crash";
+/// A worker that a crashing task has crashed is back within this.
+const MAX_CRASH_DOWNTIME: Millis = 6_000;
+/// A worker that restarts under its id is back within this, three in ten at once, and its new life
+/// is listed within [`MAX_LISTING_DELAY`] of that.
+const MAX_RESTART_TIME: Millis = 3_000;
+const MAX_LISTING_DELAY: Millis = 1_000;
+/// Longest time after the end of a life until a write that it had in flight reaches the store.
+const MAX_ENTRY_DELAY: Millis = 3_000;
+/// The interval at which each worker writes its entry, which is dropped after three intervals
+/// without a write.
 const HEARTBEAT: Millis = 1_500;
-const ENTRY_LASTS: Millis = 3 * HEARTBEAT;
-/// Of such lives one in so many fails all its tasks.
-const FAILING: u32 = 4;
-/// How often a task of theirs may fail.
+const ENTRY_LIFETIME: Millis = 3 * HEARTBEAT;
+/// Where workers restart under the same ids, one life in this many fails all its tasks.
+const FAILING_LIFE_ONE_IN: u32 = 4;
+/// How often a task may fail in these worlds.
 const ATTEMPTS: u32 = 3;
-/// How often such a task may be started: twice more after three workers have crashed under it.
+/// How often a crashing task may be started: twice more after three workers have crashed under it.
 const MOST_CRASHES: usize = 5;
 
 /// Accelerators of a worker.
 const GPUS: u64 = 4;
-/// Workspaces of the runs that have some.
-const TEAMS: [&str; 2] = ["a", "b"];
-/// Their caps in cores, of 64: drawn anew from time to time, and wide enough for any gang in the end.
-const CAPS: std::ops::Range<u64> = 4..40;
-const WIDE: u64 = 40;
+/// Workspaces of the jobs in worlds with caps.
+const WORKSPACES: [&str; 2] = ["a", "b"];
+/// Their caps in cores, of 64 in the cell: drawn anew from time to time, and in the end wide enough
+/// for any gang ([`FINAL_CAP`]).
+const CAP_RANGE: std::ops::Range<u64> = 4..40;
+const FINAL_CAP: u64 = 40;
 
 fn worker_with_gpus(number: u16) -> WorkerEntry {
     let mut entry = worker(number);
@@ -93,49 +96,50 @@
     entry
 }
 
-/// An order that is carried out later than it was sent, its answer lost.
-enum Late {
+/// An order whose answer is lost and that a worker executes late.
+enum DelayedOrder {
     Start(StartOrder),
     Stop(StopOrder),
 }
 
-/// A call or an answer on its way between the owner and a worker.
-enum Way {
+/// A call or an answer between the owner and a worker.
+enum Payload {
     Start(StartOrder),
     StartAnswer(RunKey, StartOutcome, Option<Millis>),
     Stop(StopOrder),
     StopAnswer(WorkerKey, RunKey),
-    Look(PollOrder),
-    LookAnswer(PollOrder, Result<PollReport, PollFailure>),
+    Poll(PollOrder),
+    PollAnswer(PollOrder, Result<PollReport, PollFailure>),
 }
 
-/// A message on its way.
+/// A message in flight.
 struct Message {
     /// When it arrives.
     at: Millis,
-    /// The epoch of the owner that sent it or is to hear it.
+    /// The epoch of the owner that sent it or is to receive it.
     epoch: u64,
-    way: Way,
+    payload: Payload,
 }
 
-/// The entry of a life that is over, which its last write brings back.
+/// The entry of an ended life, which the last write of that life restores from `at` to `until`.
 struct FormerEntry {
     at: Millis,
     until: Millis,
     entry: WorkerEntry,
 }
 
-/// A start of which the owner does not know what became of it.
-struct UntoldStart {
+/// A start whose outcome the owner does not know.
+struct UnresolvedStart {
     task: TaskName,
     /// The life of the worker.
     life: String,
-    /// When it was given up as unanswered: a later look at that life tells.
+    /// When it was given up as unanswered: a poll of that life sent later tells the outcome.
     given_up: Option<Millis>,
 }
 
-/// One process's turn as owner.  A former one goes on for a while, as a frozen process
-/// that wakes would; its window is over by then, so it only hears answers to old orders.
+/// The present owner.  A former owner is dropped with its cell: of its messages in flight, orders
+/// still reach the workers and answers reach nobody.  A suspended process that wakes as a former
+/// owner gives no orders either, since `tuning::OWNER_STOP_TIME` is over by then.
 struct Owner {
     cell: Cell,
     keys: BTreeMap<String, WorkerKey>,
@@ -149,20 +153,21 @@
     /// Workers by the id of their present life.
     workers: BTreeMap<String, WorkerLife>,
     entries: Vec<WorkerEntry>,
-    /// What the platform lists of them, and when it lists a later life.
-    listing: Vec<WorkerEntry>,
-    to_list: Vec<(Millis, usize)>,
-    /// Workers start again under the id that they had.
+    /// The entries that the store lists of them, and when it lists a new life, by index in
+    /// `entries`.
+    listed_entries: Vec<WorkerEntry>,
+    pending_listings: Vec<(Millis, usize)>,
+    /// Workers restart under the same id.
     keeps_ids: bool,
-    /// Entries of lives that are over come back late, and those of the next ones come late.
+    /// Entries of ended lives are restored by late writes, and those of new lives are delayed.
     has_late_entries: bool,
-    to_come_back: Vec<FormerEntry>,
-    come_back: Vec<FormerEntry>,
-    /// What lives that are over have run.
-    graves: Vec<WorkerLife>,
-    lives: u16,
-    late: Vec<(Millis, Late)>,
-    /// Calls and answers that take their time.
+    delayed_entries: Vec<FormerEntry>,
+    stale_entries: Vec<FormerEntry>,
+    /// Ended lives of workers, with what they have run.
+    ended_lives: Vec<WorkerLife>,
+    next_worker_number: u16,
+    delayed_orders: Vec<(Millis, DelayedOrder)>,
+    /// Calls and answers in flight.
     messages: Vec<Message>,
     rows: BTreeMap<u64, JobRow>,
     progress: BTreeMap<JobId, JobProgress>,
@@ -170,56 +175,59 @@
     cancelled: BTreeSet<JobId>,
     owner: Owner,
     epoch: u64,
-    /// An urgent queue, and one that goes behind it and needs advice.
+    /// An urgent queue, and one of lower priority that needs advice.
     queues: [Queue; 2],
-    /// Jobs whose rows the owner could not read yet.
+    /// The numbers of jobs whose rows the owner could not read yet.
     unread: Vec<u64>,
-    /// Ends that workers listed last, by the worker's id.
+    /// The ends that each worker listed last, by its id.
     listed: BTreeMap<String, Vec<EndEntry>>,
-    /// When a worker was first told to forget that a task has ended well.
-    noted: BTreeMap<TaskName, Millis>,
-    /// Runs whose good end a worker was told to forget before its lease had run out.
-    noted_runs: BTreeSet<(TaskName, u64)>,
-    /// Lives that a look has reached which was meant for them.
-    reached: BTreeSet<Life>,
-    /// Starts that were carried out late by a life which no look had reached, and when.
-    astray: BTreeSet<(TaskName, u64, Millis)>,
-    /// Runs whose bad end was forgotten so.
-    noted_failures: BTreeSet<(TaskName, u64)>,
-    /// When the lease of a worker's life had run out, by id.
-    lapsed: BTreeMap<String, Vec<Millis>>,
-    /// Nothing goes wrong any more.
-    calm: bool,
+    /// When a worker was first told to forget the successful end of a task.
+    acknowledged_tasks: BTreeMap<TaskName, Millis>,
+    /// Runs whose successful end a worker was told to forget before its lease had expired.
+    acknowledged_runs: BTreeSet<(TaskName, u64)>,
+    /// Lives that a poll meant for them has reached.
+    polled_lives: BTreeSet<Life>,
+    /// Starts that were meant for a former life and executed by one that no poll had reached, and
+    /// when.
+    starts_by_wrong_life: BTreeSet<(TaskName, u64, Millis)>,
+    /// Runs whose failure a worker was told to forget before its lease had expired.
+    acknowledged_failures: BTreeSet<(TaskName, u64)>,
+    /// When the lease of a worker's present life had expired, by id.
+    lease_expiries: BTreeMap<String, Vec<Millis>>,
+    /// No more faults occur.
+    faults_ended: bool,
     store_down_until: Millis,
-    /// Until when a worker is cut off and runs on, by id.
-    cut_until: BTreeMap<String, Millis>,
-    /// Some jobs have tasks that crash each worker that starts them.
+    /// Until when a worker cannot be reached and runs on, by id.
+    disconnected_until: BTreeMap<String, Millis>,
+    /// Some jobs have crashing tasks.
     has_crashing_tasks: bool,
-    /// When a worker that has crashed under a task is back, by its place.
-    back: BTreeMap<usize, Millis>,
-    /// The runs that such a task has begun, and the workers that have crashed under any task.
+    /// When a worker that is down begins its next life, by its index in `entries`.
+    restarts: BTreeMap<usize, Millis>,
+    /// How often each crashing task was started, and how many workers have crashed under each task.
     crash_starts: BTreeMap<TaskName, usize>,
     crashed_under: BTreeMap<TaskName, usize>,
-    /// The epochs of owners of which such a task has begun a run that no successor could know of.
-    unrecorded: BTreeMap<TaskName, BTreeSet<u64>>,
-    /// The numbers of runs that were recorded as possible losses, also of jobs that have ended.
+    /// The epochs of owners that have started a crashing task without recording the run, so that no
+    /// successor could know of it.
+    unrecorded_start_epochs: BTreeMap<TaskName, BTreeSet<u64>>,
+    /// The numbers of runs that were recorded as possible losses, including those of ended jobs.
     recorded_runs: BTreeSet<u64>,
-    /// Starts of which nobody has told the owner what became of them, by its epoch.
-    untold: BTreeMap<(u64, RunKey), UntoldStart>,
-    /// Since when each version of the configuration is in force, and its workspaces; none without.
+    /// Starts whose outcome the owner does not know, by its epoch and the run.
+    unresolved_starts: BTreeMap<(u64, RunKey), UnresolvedStart>,
+    /// Since when each version of the configuration is in force, and its workspaces; empty in
+    /// worlds without caps.
     caps: Vec<(Millis, Vec<Workspace>)>,
-    /// Evacuates halls and takes them back; none if nobody does.
+    /// Evacuates halls and takes them back; `None` if nobody does.
     operator: Option<Operator>,
-    /// So many idle workers stay awake; none if all do.
-    awake: Option<usize>,
+    /// How many idle workers stay awake; `None` if all do.
+    idle_reserve: Option<usize>,
     /// What was ordered, recorded and lost, in order.
     history: Vec<String>,
-    /// At which moments owners are lost; none if only by chance.
-    aim: Option<Aim>,
+    /// Loses owners just after certain moments; `None` if they are lost at random times only.
+    owner_loss: Option<OwnerLoss>,
 }
 
 impl World {
-    /// Workers that start again do so under new ids.
+    /// A world whose workers restart under new ids.
     pub fn new(seed: u64) -> Self {
         let queues = [queue("urgent", 0), advised_queue("later", 2)].map(|queue| Queue {
             attempts: 1_000,
@@ -233,16 +241,16 @@
             workers: ids
                 .map(|id| (id, WorkerLife::begun_at(0, MemoryWorker::default())))
                 .collect(),
-            listing: entries.clone(),
-            to_list: Vec::new(),
+            listed_entries: entries.clone(),
+            pending_listings: Vec::new(),
             keeps_ids: false,
             has_late_entries: false,
-            to_come_back: Vec::new(),
-            come_back: Vec::new(),
+            delayed_entries: Vec::new(),
+            stale_entries: Vec::new(),
             entries,
-            graves: Vec::new(),
-            lives: WORKERS,
-            late: Vec::new(),
+            ended_lives: Vec::new(),
+            next_worker_number: WORKERS,
+            delayed_orders: Vec::new(),
             messages: Vec::new(),
             rows: BTreeMap::new(),
             progress: BTreeMap::new(),
@@ -257,53 +265,53 @@
             queues,
             unread: Vec::new(),
             listed: BTreeMap::new(),
-            noted: BTreeMap::new(),
-            noted_runs: BTreeSet::new(),
-            reached: BTreeSet::new(),
-            astray: BTreeSet::new(),
-            noted_failures: BTreeSet::new(),
-            lapsed: BTreeMap::new(),
-            calm: false,
+            acknowledged_tasks: BTreeMap::new(),
+            acknowledged_runs: BTreeSet::new(),
+            polled_lives: BTreeSet::new(),
+            starts_by_wrong_life: BTreeSet::new(),
+            acknowledged_failures: BTreeSet::new(),
+            lease_expiries: BTreeMap::new(),
+            faults_ended: false,
             store_down_until: 0,
-            cut_until: BTreeMap::new(),
+            disconnected_until: BTreeMap::new(),
             has_crashing_tasks: false,
-            back: BTreeMap::new(),
+            restarts: BTreeMap::new(),
             crash_starts: BTreeMap::new(),
             crashed_under: BTreeMap::new(),
-            unrecorded: BTreeMap::new(),
+            unrecorded_start_epochs: BTreeMap::new(),
             recorded_runs: BTreeSet::new(),
-            untold: BTreeMap::new(),
+            unresolved_starts: BTreeMap::new(),
             caps: Vec::new(),
             operator: None,
-            awake: None,
+            idle_reserve: None,
             history: Vec::new(),
-            aim: None,
+            owner_loss: None,
         };
         world.take_over();
         world
     }
 
-    /// Workers stand in two halls, which are evacuated and taken back.
+    /// Puts the workers into two halls, which are evacuated and taken back.
     pub fn with_evacuations(mut self) -> Self {
         for (place, entry) in self.entries.iter_mut().enumerate() {
             entry.hall = HALLS[place % HALLS.len()].to_owned();
         }
-        self.listing = self.entries.clone();
+        self.listed_entries = self.entries.clone();
         self.operator = Some(Operator::default());
         self.take_over();
         self
     }
 
-    /// Idle workers are parked, but for one.
+    /// Parks all idle workers but one.
     pub fn with_parking(mut self) -> Self {
-        self.awake = Some(1);
+        self.idle_reserve = Some(1);
         self.take_over();
         self
     }
 
-    /// Two of three jobs belong to workspaces whose caps change.
+    /// Puts two of three jobs into workspaces whose caps change.
     pub fn with_caps(mut self) -> Self {
-        self.change_caps(CAPS);
+        self.change_caps(CAP_RANGE);
         self
     }
 
@@ -314,22 +322,22 @@
         }
     }
 
-    /// A newer configuration is in force, and the owner hears of it.
+    /// Draws new caps and puts them in force at the owner.
     pub(super) fn change_caps(&mut self, cores: std::ops::Range<u64>) {
         let mut draw = |name: &str| workspace(name, self.rng.random_range(cores.clone()));
-        let list = TEAMS.iter().map(|name| draw(name)).collect();
+        let list = WORKSPACES.iter().map(|name| draw(name)).collect();
         self.caps.push((self.now, list));
         let config = self.config();
         self.owner.cell.configure(config);
     }
 
     /// The workspace of a job, in the newest configuration.
-    pub(super) fn team_of(&self, job: u64) -> Option<Workspace> {
+    pub(super) fn workspace_of(&self, job: u64) -> Option<Workspace> {
         let (_, list) = self.caps.last()?;
-        list.get(job as usize % (TEAMS.len() + 1)).cloned()
+        list.get(job as usize % (WORKSPACES.len() + 1)).cloned()
     }
 
-    /// Some tasks crash each worker that starts them.
+    /// A world in which some tasks crash each worker that starts them.
     pub fn with_crashing_tasks(seed: u64) -> Self {
         Self {
             has_crashing_tasks: true,
@@ -337,7 +345,8 @@
         }
     }
 
-    /// Workers tell when they started, start again under their ids, and some fail what they run.
+    /// A world whose workers report when they started and restart under the same ids, and where
+    /// some lives fail all their tasks.
     pub fn with_kept_ids(seed: u64, has_crashing_tasks: bool) -> Self {
         let mut world = Self::new(seed);
         world.has_crashing_tasks = has_crashing_tasks;
@@ -348,37 +357,38 @@
         for place in 0..world.entries.len() {
             world.begin_life(place);
         }
-        world.listing = world.entries.clone();
+        world.listed_entries = world.entries.clone();
         world.epoch = 0;
         world.take_over();
         world
     }
 
-    /// Late entries on top of what the other worlds have.
+    /// Adds late entries of workers: ended lives are listed again, and new lives are listed late.
     pub fn with_late_entries(mut self) -> Self {
         self.has_late_entries = true;
         self
     }
 
+    /// Draws with this chance whether a fault occurs; never once the faults have ended.
     pub(super) fn chance(&mut self, percent: u32) -> bool {
-        !self.calm && self.rng.random_ratio(percent, 100)
+        !self.faults_ended && self.rng.random_ratio(percent, 100)
     }
 
     pub(super) fn store_is_up(&self) -> bool {
         self.now >= self.store_down_until
     }
 
-    pub(super) fn is_cut(&self, id: &str) -> bool {
-        self.cut_until
+    pub(super) fn is_disconnected(&self, id: &str) -> bool {
+        self.disconnected_until
             .get(id)
             .is_some_and(|&until| self.now < until)
     }
 
-    fn note(&mut self, what: String) {
+    fn add_history(&mut self, what: String) {
         self.history.push(format!("{} {what}", self.now));
     }
 
-    /// What was ordered, recorded and lost, one line each with its time.
+    /// What was ordered, recorded and lost, one line for each event, which begins with its time.
     pub fn history(&self) -> &[String] {
         &self.history
     }
@@ -390,20 +400,24 @@
         }
         self.epoch = tuning::next_epoch(self.epoch);
         tracing::debug!(now = self.now, epoch = self.epoch, "owner changes");
-        self.note(format!("owner {} begins", self.epoch));
+        self.add_history(format!("owner {} begins", self.epoch));
         let mut cell = Cell::new(self.epoch, self.config(), self.now);
         cell.set_lanes(&[true]);
-        if let Some(awake) = self.awake {
-            cell.set_idle_reserve(awake);
+        if let Some(idle_reserve) = self.idle_reserve {
+            cell.set_idle_reserve(idle_reserve);
         }
         cell.restore_roster(self.roster.clone(), self.now);
-        cell.list_workers(self.store_lists(), self.now);
+        cell.list_workers(self.entries_in_store(), self.now);
         if let Some(operator) = &mut self.operator {
-            cell.set_evacuated_halls(&operator.read());
-        }
-        // Some rows lie where the store cannot be read just now.
-        let hides_rows = self.hides_rows();
-        let readable = if self.chance(30) || hides_rows { 2 } else { 3 };
+            cell.set_evacuated_halls(&operator.read_store());
+        }
+        // Part of the store may be unreadable at this moment.
+        let has_unreadable_rows = self.draws_unreadable_rows();
+        let readable = if self.chance(30) || has_unreadable_rows {
+            2
+        } else {
+            3
+        };
         self.unread.clear();
         for (&number, row) in &self.rows {
             let progress = self.progress.get(&row.id);
@@ -422,39 +436,39 @@
             keys: BTreeMap::new(),
             confirmed: self.now,
         };
-        self.reaches(Moment::Claim);
+        self.note_moment(Moment::Claim);
     }
 
-    /// Plays the day, until all jobs have ended or were given the time for it.
+    /// Runs the world until all jobs have ended or the time for recovery is over.
     pub fn play(&mut self) {
-        while self.now < TROUBLE {
-            self.trouble();
-            self.turn();
+        while self.now < FAULT_TIME {
+            self.inject_faults();
+            self.tick();
         }
-        self.calm = true;
+        self.faults_ended = true;
         for worker in self.workers.values_mut() {
             worker.memory.fails_all_tasks = false;
         }
         self.store_down_until = 0;
-        self.cut_until.clear();
+        self.disconnected_until.clear();
         if !self.caps.is_empty() {
-            self.change_caps(WIDE..WIDE + 1);
+            self.change_caps(FINAL_CAP..FINAL_CAP + 1);
         }
         if let Some(operator) = &mut self.operator {
-            operator.take_all_back();
+            operator.reopen_all();
         }
-        let quiet = self.quiet();
-        while self.now < TROUBLE + quiet && !self.is_done() {
-            self.turn();
+        let recovery_time = self.recovery_time();
+        while self.now < FAULT_TIME + recovery_time && !self.is_done() {
+            self.tick();
         }
     }
 
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn inject_faults(&mut self) {
         if self.chance(6) && self.rows.len() < 30 {
             self.submit();
         }
         if self.chance(3) {
-            self.hand_in_again();
+            self.resubmit();
         }
         if self.chance(1) && self.rng.random_ratio(1, 2) {
             self.take_over();
@@ -469,17 +483,17 @@
             self.cancel();
         }
         if !self.caps.is_empty() && self.chance(1) {
-            self.change_caps(CAPS);
+            self.change_caps(CAP_RANGE);
         }
         if self.operator.is_some() && self.chance(1) {
             let now = self.now;
             let operator = self.operator.as_mut().expect("an operator");
-            operator.order(&mut self.rng, now);
+            operator.toggle_hall(&mut self.rng, now);
         }
         if self.chance(1) && self.rng.random_ratio(1, 2) {
             let place = self.rng.random_range(0..self.entries.len());
             let until = self.now + self.rng.random_range(200..8_000);
-            self.cut_until
+            self.disconnected_until
                 .insert(self.entries[place].life.id.clone(), until);
         }
     }
@@ -496,19 +510,19 @@
             // Five members must fit on four workers.
             first.demand.gpus = first.demand.gpus.min(2);
         }
-        first.estimate = LONGEST;
+        first.estimate = MAX_RUN_TIME;
         let mut second = step(2, 1_000);
         second.after = vec![0];
-        second.estimate = LONGEST;
-        // A gang in the queue that needs advice might have too few good workers for ever.
+        second.estimate = MAX_RUN_TIME;
+        // A gang in the queue that needs advice might never have enough approved workers.
         let later = self.rng.random_bool(0.5) && !first.gang;
         let queue = &self.queues[usize::from(later)];
         let mut row = job(number, queue, vec![first, second]);
-        let shortest = if self.keeps_ids { SHORTEST } else { 20 };
-        row.spec.text = self.rng.random_range(shortest..LONGEST).to_string();
-        row.workspace = self.team_of(number);
+        let shortest = if self.keeps_ids { MIN_RUN_TIME } else { 20 };
+        row.spec.text = self.rng.random_range(shortest..MAX_RUN_TIME).to_string();
+        row.workspace = self.workspace_of(number);
         if self.has_crashing_tasks && self.rng.random_ratio(1, 6) {
-            row.spec.text = CRASH.to_owned();
+            row.spec.text = CRASHING_TASK.to_owned();
         }
         if self.store_is_up() {
             self.owner.cell.accept(&row, None, false, self.now);
@@ -516,8 +530,8 @@
         }
     }
 
-    /// A caller hands a job in again whose row the owner may not have read yet.
-    pub(super) fn hand_in_again(&mut self) {
+    /// A caller submits a job again whose row the owner has not read yet.
+    pub(super) fn resubmit(&mut self) {
         let count = self.unread.len();
         if count == 0 || !self.store_is_up() {
             return;
@@ -537,34 +551,34 @@
         self.owner.cell.cancel(JobId(number));
     }
 
-    pub(super) fn turn(&mut self) {
+    pub(super) fn tick(&mut self) {
         self.now += TICK;
-        self.lose_owners();
+        self.lose_due_owner();
         tracing::trace!(now = self.now, "turn");
-        self.workers_come_back();
-        self.list_later_lives();
-        self.list_former_lives();
-        self.note_lapses();
-        self.carry_out_late();
+        self.begin_due_lives();
+        self.list_new_lives();
+        self.update_stale_entries();
+        self.note_lease_expiries();
+        self.execute_delayed_orders();
         self.deliver();
         if self.store_is_up() {
             self.owner.confirmed = self.now;
-            self.read_the_rest();
+            self.read_remaining_rows();
         }
-        // Without confirmation an owner orders nothing after its window.
+        // An owner without confirmation gives no orders after this time.
         if self.now - self.owner.confirmed < tuning::OWNER_STOP_TIME {
-            self.look();
+            self.poll_workers();
             self.deliver();
-            self.decide();
+            self.run_scheduling_round();
             self.deliver();
         }
         self.record();
         self.check();
     }
 
-    /// The owner reads the rows that it could not read at first.
-    pub(super) fn read_the_rest(&mut self) {
-        if self.unread.is_empty() || !(self.calm || self.rng.random_ratio(1, 30)) {
+    /// From time to time, the owner reads the rows that it could not read at first.
+    pub(super) fn read_remaining_rows(&mut self) {
+        if self.unread.is_empty() || !(self.faults_ended || self.rng.random_ratio(1, 30)) {
             return;
         }
         for number in std::mem::take(&mut self.unread) {
@@ -572,14 +586,14 @@
             self.owner.cell.accept(row, None, true, self.now);
         }
         self.owner.cell.set_has_unread_jobs(false);
-        self.reaches(Moment::Reading);
+        self.note_moment(Moment::Reading);
     }
 
     pub(super) fn record(&mut self) {
         if !self.store_is_up() || self.chance(20) {
             return;
         }
-        let most = self.most_recorded();
+        let limit = self.draw_batch_limit();
         let cell = &mut self.owner.cell;
         let (version, changes) = cell.take_roster_changes();
         let mut written: Vec<String> = Vec::new();
@@ -594,7 +608,7 @@
             ids.collect()
         };
         assert_eq!(ids(&self.roster), ids(&cell.roster().1), "at {}", self.now);
-        let batch = cell.take_batch(most);
+        let batch = cell.take_batch(limit);
         for (_, id, progress) in &batch.rows {
             if progress.state == JobState::Cancelled {
                 self.cancelled.insert(*id);
@@ -606,13 +620,13 @@
         }
         cell.batch_recorded(batch, self.now);
         if !written.is_empty() {
-            self.note(format!("recorded: {}", written.join(" ")));
-            self.reaches(Moment::Record);
+            self.add_history(format!("recorded: {}", written.join(" ")));
+            self.note_moment(Moment::Record);
         }
     }
 }
 
-/// The room that runs take.
+/// The resources that these runs hold.
 fn held_by(rows: &BTreeMap<u64, JobRow>, runs: impl Iterator<Item = RunRecord>) -> Demand {
     let mut held = Demand::default();
     for run in runs {
--- a/tests/random_world/settings.rs
+++ b/tests/random_world/settings.rs
@@ -1,14 +1,15 @@
-//! What the environment says about the runs: `CROSSWEIR_SEED`, `CROSSWEIR_RUNS` and `RUST_LOG`.
+//! Settings from environment variables: `CROSSWEIR_SEED`, `CROSSWEIR_RUNS`, `CROSSWEIR_SPAN` and
+//! `RUST_LOG`.
 
-/// Prints the log, if `RUST_LOG` says which.
+/// Prints the log as `RUST_LOG` selects it; prints errors only without it.
 pub fn print_log() {
     let filter = tracing_subscriber::EnvFilter::from_default_env();
     let log = tracing_subscriber::fmt().without_time();
-    // Another test of this process may have begun before.
+    // Fails if another test of this process has done this before.
     let _ = log.with_env_filter(filter).try_init();
 }
 
-/// A number that the environment names, or another one.
+/// The number in the environment variable `name`, or `otherwise` if there is none.
 pub fn number(name: &str, otherwise: u64) -> u64 {
     std::env::var(name)
         .ok()
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -1,8 +1,8 @@
-//! Calls and answers between the owner and its workers, and what becomes of them.
+//! Calls and answers between the owner and its workers: their delays, losses and effects.
 
 use super::{
-    CRASH, HELD, Late, MOST_LATE, Message, Moment, ORDER_TIMEOUT, UntoldStart, WAY, Way, World,
-    held_by, worker_with_gpus,
+    CRASHING_TASK, DelayedOrder, MAX_MESSAGE_DELAY, MAX_ORDER_DELAY, MAX_POLL_HOLD, Message,
+    Moment, ORDER_TIMEOUT, Payload, UnresolvedStart, World, held_by, worker_with_gpus,
 };
 use crate::lives::WorkerLife;
 use crossweir::cell::order::{
@@ -14,21 +14,21 @@
 use rand::Rng;
 
 impl World {
-    pub(super) fn carry_out_late(&mut self) {
+    pub(super) fn execute_delayed_orders(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed_orders)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.late = later;
+        self.delayed_orders = later;
         for (_, order) in due {
             match order {
-                Late::Start(order) => {
-                    let outcome = self.carry_start_out(&order);
+                DelayedOrder::Start(order) => {
+                    let outcome = self.execute_start(&order);
                     if outcome == StartOutcome::Started {
-                        self.note_astray(&order);
+                        self.note_start_by_wrong_life(&order);
                     }
                 }
-                Late::Stop(order) => {
+                DelayedOrder::Stop(order) => {
                     if let Some(worker) = self.workers.get_mut(&order.to.life.id) {
                         // A late stop of a former owner may be refused.
                         let _ = worker.stop(&order, now);
@@ -38,28 +38,28 @@
         }
     }
 
-    /// How long a call or an answer takes; many take no time that the clock shows.
-    pub(super) fn way(&mut self) -> Millis {
+    /// Draws how long a call or an answer takes; many take no time.
+    pub(super) fn draw_message_delay(&mut self) -> Millis {
         if self.chance(40) {
-            self.rng.random_range(0..WAY)
+            self.rng.random_range(0..MAX_MESSAGE_DELAY)
         } else {
             0
         }
     }
 
-    pub(super) fn send(&mut self, at: Millis, way: Way) {
+    pub(super) fn send(&mut self, at: Millis, payload: Payload) {
         let epoch = self.epoch;
-        self.messages.push(Message { at, epoch, way });
+        self.messages.push(Message { at, epoch, payload });
     }
 
-    /// Delivers what is due, in any order, and what follows from it at once.
+    /// Delivers the messages that are due, in random order, including those that this triggers.
     pub(super) fn deliver(&mut self) {
         while let Some(message) = self.next_due() {
             let epoch = message.epoch;
-            match message.way {
-                Way::Start(order) => self.start_arrives(epoch, order),
-                Way::Stop(order) => self.stop_arrives(epoch, order),
-                Way::Look(order) => self.look_arrives(epoch, order),
+            match message.payload {
+                Payload::Start(order) => self.start_arrives(epoch, order),
+                Payload::Stop(order) => self.stop_arrives(epoch, order),
+                Payload::Poll(order) => self.poll_arrives(epoch, order),
                 answer if epoch == self.epoch => self.answer_arrives(answer),
                 _ => {}
             }
@@ -76,71 +76,73 @@
         Some(self.messages.swap_remove(place))
     }
 
-    pub(super) fn answer(&mut self, epoch: u64, way: Way) {
-        let at = self.now + self.way();
-        self.messages.push(Message { at, epoch, way });
+    pub(super) fn send_answer(&mut self, epoch: u64, payload: Payload) {
+        let at = self.now + self.draw_message_delay();
+        self.messages.push(Message { at, epoch, payload });
     }
 
-    pub(super) fn answer_arrives(&mut self, answer: Way) {
+    pub(super) fn answer_arrives(&mut self, answer: Payload) {
         let cell = &mut self.owner.cell;
         match answer {
-            Way::StartAnswer(run, outcome, clock) => {
+            Payload::StartAnswer(run, outcome, clock) => {
                 if outcome != StartOutcome::Unanswered {
-                    self.untold.remove(&(self.epoch, run));
-                } else if let Some(start) = self.untold.get_mut(&(self.epoch, run)) {
+                    self.unresolved_starts.remove(&(self.epoch, run));
+                } else if let Some(start) = self.unresolved_starts.get_mut(&(self.epoch, run)) {
                     start.given_up = Some(self.now);
                 }
                 cell.start_answered(run, outcome, clock, self.now);
-                self.reaches(Moment::Answer);
+                self.note_moment(Moment::Answer);
             }
-            Way::StopAnswer(worker, run) => {
+            Payload::StopAnswer(worker, run) => {
                 cell.stop_confirmed(run);
                 if cell.is_doubtful(run) {
-                    // As the owner does: the turn of the worker's own loop may wait.
-                    self.send_look(worker, false);
+                    // As the owner does: the next poll of the worker's own loop may come late.
+                    self.send_poll(worker, false);
                 }
             }
-            Way::LookAnswer(order, answer) => self.look_answered(&order, answer),
-            Way::Start(_) | Way::Stop(_) | Way::Look(_) => unreachable!("calls, not answers"),
+            Payload::PollAnswer(order, answer) => self.poll_answer_arrives(&order, answer),
+            Payload::Start(_) | Payload::Stop(_) | Payload::Poll(_) => {
+                unreachable!("calls, not answers")
+            }
         }
     }
 
-    pub(super) fn look(&mut self) {
+    pub(super) fn poll_workers(&mut self) {
         for key in self.owner.cell.worker_keys() {
             if self.owner.cell.is_parked(key) || self.rng.random_ratio(1, 2) {
                 continue;
             }
-            self.send_look(key, true);
+            self.send_poll(key, true);
         }
     }
 
-    /// Sends a look, also when others are on their way.
-    pub(super) fn send_look(&mut self, key: WorkerKey, waits: bool) {
+    /// Sends a poll, also while others are in flight.
+    pub(super) fn send_poll(&mut self, key: WorkerKey, waits: bool) {
         let Some(order) = self.owner.cell.poll_order(key, self.now) else {
             return;
         };
         self.owner.keys.insert(order.to.life.id.clone(), key);
-        self.note_forgotten(&order);
+        self.note_acknowledged_ends(&order);
         let held = if waits && self.chance(10) {
-            self.rng.random_range(0..HELD)
+            self.rng.random_range(0..MAX_POLL_HOLD)
         } else {
             0
         };
-        let at = self.now + self.way() + held;
-        // What the worker forgets it forgets as the look arrives, however long that is held.
+        let at = self.now + self.draw_message_delay() + held;
+        // The worker forgets ends when the poll arrives, however long it holds the poll open.
         let at = if self.keeps_ids { at - held } else { at };
-        self.send(at, Way::Look(order));
+        self.send(at, Payload::Poll(order));
     }
 
-    pub(super) fn look_arrives(&mut self, epoch: u64, order: PollOrder) {
-        let lost_before = self.chance(4) || self.is_cut(&order.to.life.id);
+    pub(super) fn poll_arrives(&mut self, epoch: u64, order: PollOrder) {
+        let lost_before = self.chance(4) || self.is_disconnected(&order.to.life.id);
         let lost_before = lost_before || self.is_lost_with_its_life(&order);
         let lost_after = self.chance(4);
         let is_down = self.is_down(&order.to.life.id);
         if !lost_before {
-            self.note_unread(&order);
+            self.note_ends_dropped_by_worker(&order);
             if self.workers.contains_key(&order.to.life.id) && epoch == self.epoch {
-                self.reached.insert(order.to.life.clone());
+                self.polled_lives.insert(order.to.life.clone());
             }
         }
         let mut answer = match self.workers.get_mut(&order.to.life.id) {
@@ -149,38 +151,40 @@
             None if is_down => Err(PollFailure::Refused(Refusal::NotSent)),
             None => Err(PollFailure::Refused(Refusal::Gone)),
         };
-        if let Ok(look) = &answer {
+        if let Ok(report) = &answer {
             self.listed
-                .insert(order.to.life.id.clone(), look.ended.clone());
+                .insert(order.to.life.id.clone(), report.ended.clone());
         }
         if lost_after && answer.is_ok() {
             answer = Err(PollFailure::Unanswered);
         }
         let held = match order.wait {
-            wait if self.keeps_ids && wait > 0 && self.chance(10) => self.rng.random_range(0..HELD),
+            wait if self.keeps_ids && wait > 0 && self.chance(10) => {
+                self.rng.random_range(0..MAX_POLL_HOLD)
+            }
             _ => 0,
         };
-        let at = self.now + self.way() + held;
-        let way = Way::LookAnswer(order, answer);
-        self.messages.push(Message { at, epoch, way });
+        let at = self.now + self.draw_message_delay() + held;
+        let payload = Payload::PollAnswer(order, answer);
+        self.messages.push(Message { at, epoch, payload });
     }
 
-    /// A look that was on its way when the life ended ends with its connection.  One that the next
-    /// life would carry out could make it forget a run that began and ended meanwhile, which
-    /// nobody can know of (docs/FINDINGS.md, "Lives").
+    /// Tells whether a poll was in flight when the life that it was sent to ended: it is lost with
+    /// the connection.  If the next life executed it, that could forget a run that began and ended
+    /// meanwhile, which nobody can know of (docs/FINDINGS.md, "Lives").
     pub(super) fn is_lost_with_its_life(&self, order: &PollOrder) -> bool {
         let began = self.workers.get(&order.to.life.id).map(WorkerLife::began);
         self.keeps_ids && began.is_some_and(|began| order.sent <= began)
     }
 
-    pub(super) fn look_answered(
+    pub(super) fn poll_answer_arrives(
         &mut self,
         order: &PollOrder,
         answer: Result<PollReport, PollFailure>,
     ) {
         let cell = &mut self.owner.cell;
         if answer.is_ok() {
-            self.untold.retain(|(epoch, _), start| {
+            self.unresolved_starts.retain(|(epoch, _), start| {
                 let told = start.given_up.is_some_and(|at| at < order.sent);
                 let told = told || *epoch < self.epoch;
                 start.life != order.to.life.id || !told
@@ -192,28 +196,29 @@
             Err(failure) => cell.poll_failed(order.to.worker, failure, self.now),
         }
         if has_ends {
-            self.reaches(Moment::Ends);
+            self.note_moment(Moment::Ends);
         }
     }
 
-    pub(super) fn decide(&mut self) {
+    pub(super) fn run_scheduling_round(&mut self) {
         if let Some(operator) = &mut self.operator {
             self.owner
                 .cell
-                .set_evacuated_halls(&operator.told(self.now));
+                .set_evacuated_halls(&operator.known_halls(self.now));
         }
         self.owner.cell.tick(self.now);
         self.owner.cell.schedule(self.now);
         for order in self.owner.cell.take_orders() {
             match order {
-                Order::Start(order) => self.start(order),
-                Order::Stop(order) => self.stop(order),
+                Order::Start(order) => self.send_start(order),
+                Order::Stop(order) => self.send_stop(order),
                 Order::Advise(order) => self.advise(&order),
             }
         }
     }
 
-    /// One worker is good for every step, of the others two of three, always the same ones.
+    /// Answers an advice question: one worker is approved for every step, and of the others two of
+    /// three, always the same ones.
     pub(super) fn advise(&mut self, order: &AdviceOrder) {
         let good = order.workers.iter().filter(|(_, id)| {
             let sum: u64 = id.bytes().map(u64::from).sum();
@@ -226,37 +231,38 @@
         self.owner.cell.advice_answered(order, answer, self.now);
     }
 
-    pub(super) fn start(&mut self, order: StartOrder) {
+    pub(super) fn send_start(&mut self, order: StartOrder) {
         self.check_hall(&order);
-        self.note(format!(
+        self.add_history(format!(
             "{}:{} starts on {}",
             order.task, order.number, order.to.life
         ));
-        self.reaches(Moment::Start);
+        self.note_moment(Moment::Start);
         let (run, now) = (order.run, self.now);
-        let untold = UntoldStart {
+        let start = UnresolvedStart {
             task: order.task,
             life: order.to.life.id.clone(),
             given_up: None,
         };
-        self.untold.insert((self.epoch, run), untold);
-        if self.is_cut(&order.to.life.id) {
-            self.start_is_lost(run);
+        self.unresolved_starts.insert((self.epoch, run), start);
+        if self.is_disconnected(&order.to.life.id) {
+            self.send_lost_start_answer(run);
         } else if self.chance(5) {
-            let at = now + self.rng.random_range(0..MOST_LATE);
-            self.late.push((at, Late::Start(order)));
-            self.start_is_lost(run);
+            let at = now + self.rng.random_range(0..MAX_ORDER_DELAY);
+            self.delayed_orders.push((at, DelayedOrder::Start(order)));
+            self.send_lost_start_answer(run);
         } else {
-            let at = now + self.way();
-            self.send(at, Way::Start(order));
+            let at = now + self.draw_message_delay();
+            self.send(at, Payload::Start(order));
         }
     }
 
-    /// A start brings no answer: the owner waits for one, or its connection breaks.
-    pub(super) fn start_is_lost(&mut self, run: RunKey) {
+    /// A start is not answered: the owner waits until its time-out, or the connection breaks
+    /// earlier.
+    pub(super) fn send_lost_start_answer(&mut self, run: RunKey) {
         let wait = self.rng.random_range(0..=ORDER_TIMEOUT);
         let wait = if self.chance(50) { wait } else { 0 };
-        let lost = Way::StartAnswer(run, StartOutcome::Unanswered, None);
+        let lost = Payload::StartAnswer(run, StartOutcome::Unanswered, None);
         self.send(self.now + wait, lost);
     }
 
@@ -266,16 +272,16 @@
             .workers
             .get(&order.to.life.id)
             .map(|worker| worker.began());
-        let outcome = self.carry_start_out(&order);
+        let outcome = self.execute_start(&order);
         if outcome == StartOutcome::Started && epoch != self.epoch {
-            // A former owner's, which its successor knows nothing of.
-            self.note_astray(&order);
+            // It was sent by a former owner, and its successor does not know of it.
+            self.note_start_by_wrong_life(&order);
         }
         let clock = now - began.unwrap_or_default();
-        self.answer(epoch, Way::StartAnswer(order.run, outcome, Some(clock)));
+        self.send_answer(epoch, Payload::StartAnswer(order.run, outcome, Some(clock)));
     }
 
-    pub(super) fn carry_start_out(&mut self, order: &StartOrder) -> StartOutcome {
+    pub(super) fn execute_start(&mut self, order: &StartOrder) -> StartOutcome {
         let Some(worker) = self.workers.get_mut(&order.to.life.id) else {
             return if self.is_down(&order.to.life.id) {
                 StartOutcome::Refused(Refusal::NotSent)
@@ -286,7 +292,7 @@
         let (outcome, _) = worker.start(order, self.now);
         let is_meant = self.entries.iter().any(|entry| entry.life == order.to.life);
         if outcome == StartOutcome::Started && is_meant {
-            // Whatever runs there besides, also by orders that were meant for a former life.
+            // Everything that runs there counts, including starts meant for a former life.
             let running = worker.runs().filter(|run| run.ended.is_none());
             let held = held_by(&self.rows, running);
             let capacity = worker_with_gpus(0).capacity;
@@ -300,28 +306,28 @@
         if outcome == StartOutcome::Started {
             self.check_cap(order);
         }
-        if outcome == StartOutcome::Started && &*order.text == CRASH {
+        if outcome == StartOutcome::Started && &*order.text == CRASHING_TASK {
             self.crash_worker(order);
             return StartOutcome::Unanswered;
         }
         outcome
     }
 
-    pub(super) fn stop(&mut self, order: StopOrder) {
-        self.note(format!(
+    pub(super) fn send_stop(&mut self, order: StopOrder) {
+        self.add_history(format!(
             "{}:{} stops on {}",
             order.task, order.number, order.to.life
         ));
-        if self.is_cut(&order.to.life.id) {
+        if self.is_disconnected(&order.to.life.id) {
             return;
         }
         if self.chance(10) {
-            let at = self.now + self.rng.random_range(0..MOST_LATE);
-            self.late.push((at, Late::Stop(order)));
+            let at = self.now + self.rng.random_range(0..MAX_ORDER_DELAY);
+            self.delayed_orders.push((at, DelayedOrder::Stop(order)));
             return;
         }
-        let at = self.now + self.way();
-        self.send(at, Way::Stop(order));
+        let at = self.now + self.draw_message_delay();
+        self.send(at, Payload::Stop(order));
     }
 
     pub(super) fn stop_arrives(&mut self, epoch: u64, order: StopOrder) {
@@ -329,7 +335,7 @@
             return;
         };
         if let (Ok(()), Some(run)) = (worker.stop(&order, self.now), order.run) {
-            self.answer(epoch, Way::StopAnswer(order.to.worker, run));
+            self.send_answer(epoch, Payload::StopAnswer(order.to.worker, run));
         }
     }
 }
--- a/tests/virtual_node/mod.rs
+++ b/tests/virtual_node/mod.rs
@@ -235,8 +235,8 @@
     }
 }
 
-/// Makes the node `n0` with boot number 7 and 1,000 millicores.  The peers listen at the ports from 1
-/// on, one for each of `relays`.
+/// Makes the node `n0` with boot number 7 and 1,000 millicores.  The peers listen at the ports from
+/// 1 on, one for each of `relays`.
 pub fn virtual_node(relays: &[Relay]) -> VirtualNode {
     virtual_node_with_millicores(1_000, relays)
 }
@@ -340,8 +340,8 @@
     }
 }
 
-/// Puts a configuration with these queues in force on the node, and writes the workers' entries to the
-/// store.
+/// Puts a configuration with these queues in force on the node, and writes the workers' entries to
+/// the store.
 pub fn set_up_cell(node: &VirtualNode, queues: &[Queue], workers: &[WorkerEntry]) {
     let config = Configuration::from(Draft {
         version: 1,
