--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -22,7 +22,8 @@
 /// owner, in milliseconds.
 const NOTIFIED_CHANGES_WAIT: Millis = 4_000;
 /// A node counts on the owner's notifications if it has heard the owner within this time, in
-/// milliseconds: two heartbeats, one of which is late.
+/// milliseconds: two intervals of heartbeats at the default of 500 ms, and 200 ms because one of
+/// the two may be late.
 const NOTIFIED_WITHIN: Millis = 1_200;
 /// The pause after a failed read of the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -171,7 +172,7 @@
     if shared.engine().is_some()
         && let Err(err) = halls::read(shared).await
     {
-        tracing::debug!(%err, "cannot read the evacuated halls");
+        tracing::debug!(%err, "evacuated halls cannot be read");
     }
 }
 
--- a/src/node/intake.rs
+++ b/src/node/intake.rs
@@ -132,6 +132,8 @@
             tokio::spawn(forward(Arc::clone(&shared), address, first));
             continue;
         }
+        // While the store is slow, each batch takes several permits, so that no more than
+        // `SLOW_STORE_BATCHES` are written at once.
         let slow = shared.store_is_slow();
         let needed = if slow {
             MAX_CONCURRENT_BATCHES / SLOW_STORE_BATCHES
@@ -159,12 +161,7 @@
 async fn write_and_answer(shared: &Arc<Shared>, rows: &Batch, answers: Answers, plan: WritePlan) {
     let outcome = job_batch::write(shared, rows, plan).await;
     if outcome != SubmitOutcome::Accepted {
-        tracing::info!(
-            jobs = rows.len(),
-            ?plan,
-            ?outcome,
-            "batch of jobs not written, or outcome unknown"
-        );
+        tracing::info!(jobs = rows.len(), ?plan, ?outcome, "jobs were not written");
     }
     for answer in answers {
         // The caller may have stopped waiting.
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -134,7 +134,7 @@
         halls::read(shared),
     );
     if let Err(err) = halls {
-        tracing::info!(%err, "cannot read the evacuated halls");
+        tracing::info!(%err, "evacuated halls cannot be read");
     }
     let (former, progress) = (former?, progress?);
     let now = shared.now();
