--- a/src/node/confirming.rs
+++ b/src/node/confirming.rs
@@ -29,7 +29,7 @@
 /// A node that has said that it does not reach the store, in answer to a heartbeat sent within this
 /// time, need not be asked.  The time, in milliseconds, is the interval of heartbeats and the time
 /// limit of their answers.
-const RECENT_ANSWER: Millis = heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
+const RECENT_ANSWER: Millis = heartbeat::DEFAULT_INTERVAL + heartbeat::HEARTBEAT_TIMEOUT;
 /// Time limit for one read of the ownership row, in milliseconds: a slow store takes 400 ms.
 const READ_LIMIT: Millis = 700;
 
@@ -75,7 +75,7 @@
         if let Some(response @ Response::Row(_)) = early {
             return vec![response];
         }
-        let (away, asked) = self.witnesses(sent);
+        let (away, asked) = self.classify_peers(sent);
         let others = join_all(asked.into_iter().map(|addr| self.ask_node(addr)));
         let (mut responses, own) = match early {
             Some(response) => (others.await, response),
@@ -156,7 +156,7 @@
 
     /// Considers the nodes that were heard recently and know of no higher epoch.  Returns how many
     /// of them have just said that they do not reach the store, and the addresses of the others.
-    fn witnesses(&self, sent: Millis) -> (usize, Vec<SocketAddr>) {
+    fn classify_peers(&self, sent: Millis) -> (usize, Vec<SocketAddr>) {
         let members = self.shared.members();
         let (away, asked): (Vec<&Member>, Vec<&Member>) = members
             .iter()
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -16,7 +16,7 @@
 use crate::cell::tuning;
 use crate::clock::Millis;
 use crate::node::engine::Engine;
-use crate::node::heartbeat::{self, BEAT_TIMEOUT};
+use crate::node::heartbeat::{self, HEARTBEAT_TIMEOUT};
 use crate::node::loading;
 use crate::node::members::{self, Source};
 use crate::node::owner;
@@ -52,7 +52,7 @@
 /// store.  No other node can claim the cell meanwhile, and the process must end within 6 s.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(4_500);
 /// How many times a claim is written if the former owner has written the ownership row meanwhile.
-/// At most two of its transactions are in flight, one of them through another node.
+/// At most two of its transactions are in flight, one of them through a peer.
 const CLAIM_ATTEMPTS: usize = 3;
 /// How often the ownership row is read while the answer to a claim is awaited.  The answer takes
 /// 4 ms, or 0.5 s from a store that is 77 times slower.
@@ -149,7 +149,7 @@
 async fn announce_to_seeds(shared: Arc<Shared>) {
     let own = shared.address;
     let seeds = shared.seeds.iter().copied().filter(|seed| *seed != own);
-    let beats = exchange_all(&shared, seeds.collect(), BEAT_TIMEOUT).await;
+    let beats = exchange_all(&shared, seeds.collect(), HEARTBEAT_TIMEOUT).await;
     find_owner(&shared, &beats).await;
 }
 
@@ -157,7 +157,7 @@
 /// owner then informs all other nodes.
 async fn announce(shared: &Arc<Shared>) {
     let watchers = shared.members().first_candidates();
-    let beats = exchange_all(shared, watchers, BEAT_TIMEOUT).await;
+    let beats = exchange_all(shared, watchers, HEARTBEAT_TIMEOUT).await;
     find_owner(shared, &beats).await;
 }
 
@@ -178,7 +178,7 @@
         return;
     };
     if address != shared.address {
-        exchange(shared, address, shared.heartbeat(), BEAT_TIMEOUT).await;
+        exchange(shared, address, shared.heartbeat(), HEARTBEAT_TIMEOUT).await;
     }
 }
 
@@ -215,8 +215,9 @@
     join_all(exchanges).await.into_iter().flatten().collect()
 }
 
-/// Checks that the owner performs several times a second beside its heartbeats: updates which nodes
-/// can pass on calls to the advice service, and gives the cell up if another node is far stronger.
+/// Checks that the owner performs several times a second beside its heartbeats: updates which
+/// nodes' connections to the advice service can be used, and gives the cell up if another node is
+/// far stronger.
 pub(super) async fn review_ownership(shared: &Arc<Shared>) {
     let Some(engine) = shared.engine() else {
         return;
@@ -443,7 +444,7 @@
     let Ok(address) = owner.address.parse() else {
         return true;
     };
-    match exchange(shared, address, shared.heartbeat(), BEAT_TIMEOUT).await {
+    match exchange(shared, address, shared.heartbeat(), HEARTBEAT_TIMEOUT).await {
         Some(beat) => beat.name != owner.name || beat.boot == owner.boot,
         None => suspected > 0,
     }
@@ -604,5 +605,5 @@
         addresses.extend(shared.owner().address);
         addresses
     };
-    exchange_all(shared, addresses, BEAT_TIMEOUT).await;
+    exchange_all(shared, addresses, HEARTBEAT_TIMEOUT).await;
 }
--- a/src/node/engine.rs
+++ b/src/node/engine.rs
@@ -37,7 +37,7 @@
 /// A node that was heard within this time, in milliseconds, counts as alive: two intervals
 /// of heartbeats and the time limit of one, since one of the two may be late.
 pub(super) const PEER_ALIVE_WINDOW: Millis =
-    2 * heartbeat::DEFAULT_INTERVAL + heartbeat::BEAT_TIMEOUT;
+    2 * heartbeat::DEFAULT_INTERVAL + heartbeat::HEARTBEAT_TIMEOUT;
 /// How long the answer to a request for the state of a job waits for the job's end: three times the
 /// time that it takes to learn of an end and record it.
 const END_WAIT: Duration = Duration::from_millis(120);
@@ -304,10 +304,10 @@
     /// Returns the state of a job for a caller; none if the job is not known here.
     ///
     /// If the job may end at any moment, waits up to `END_WAIT` for the end.  Callers ask just
-    /// after their last task has ended, some 40 ms before that is recorded.  They would ask again
-    /// only a quarter of a second later, which is all that urgent jobs have to spare.  In the
-    /// median the time from a job's last end to the answer that reports it is 0.07 s, and 0.26 s
-    /// without this wait.
+    /// after their last task has ended, some 40 ms before that is recorded, and ask again only a
+    /// quarter of a second later.  An urgent job has 250 ms and half of its work to spare, so that
+    /// second query alone would use up the 250 ms.  In the median the time from a job's last end to
+    /// the answer that reports it is 0.07 s, and 0.26 s without this wait.
     pub async fn state_or_end(&self, id: JobId) -> Option<JobState> {
         let until = tokio::time::Instant::now() + END_WAIT;
         loop {
--- a/src/node/heartbeat.rs
+++ b/src/node/heartbeat.rs
@@ -26,7 +26,7 @@
 /// configuration within 2 s.
 pub const DEFAULT_INTERVAL: Millis = 500;
 /// Time limit for the answer to a heartbeat, in milliseconds.
-pub const BEAT_TIMEOUT: Millis = 300;
+pub const HEARTBEAT_TIMEOUT: Millis = 300;
 /// How often the owner checks which nodes are due for a heartbeat.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often the owner checks which nodes are gone, which nodes' connections to the advice service
@@ -131,7 +131,7 @@
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
         let ends = beat.ends.clone();
-        let answer = election::exchange(&shared, node.address, beat, BEAT_TIMEOUT).await;
+        let answer = election::exchange(&shared, node.address, beat, HEARTBEAT_TIMEOUT).await;
         if let (Some(_), Some(engine)) = (answer, shared.engine()) {
             engine.mark_ends_known_to_peer(&ends);
         }
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -131,7 +131,8 @@
     }
 }
 
-/// How long a node with this heartbeat interval may be silent before it is suspected.
+/// How long an owner or claimant whose heartbeats come at this interval may be silent before it is
+/// suspected, in milliseconds.
 fn suspicion_timeout(interval: Millis) -> Millis {
     TOLERATED_MISSES * interval + SUSPECT_MARGIN
 }
