--- a/src/node/owner_calls.rs
+++ b/src/node/owner_calls.rs
@@ -32,8 +32,8 @@
                 NodeReply::Unavailable
             }
         },
-        NodeCall::State(asked) | NodeCall::Explain(asked) | NodeCall::Cancel(asked)
-            if !engine.may_see(&asked) =>
+        NodeCall::State(request) | NodeCall::Explain(request) | NodeCall::Cancel(request)
+            if !engine.may_see(&request) =>
         {
             NodeReply::UnknownJob
         }
@@ -51,7 +51,7 @@
                 None => NodeReply::UnknownJob,
             }
         }
-        NodeCall::Cancel(asked) => engine.cancel(&asked).await,
+        NodeCall::Cancel(request) => engine.cancel(&request).await,
         _ => NodeReply::NotOwner,
     }
 }
--- a/src/node/recording.rs
+++ b/src/node/recording.rs
@@ -109,16 +109,16 @@
             // The release may have timed out and still take effect later, together with its rows.
             return;
         }
-        let most_jobs = self.max_jobs.load(Ordering::Relaxed);
+        let max_jobs = self.max_jobs.load(Ordering::Relaxed);
         // After the store has rejected a transaction, the job that caused it is searched for in
         // transactions without rows of the roster.
-        let (roster, workers) = self.changed_roster(match most_jobs {
+        let (roster, workers) = self.changed_roster(match max_jobs {
             MAX_JOBS => MAX_ROSTER_ROWS,
             _ => 0,
         });
         let batch = self
             .cell()
-            .take_batch(most_jobs.min(MAX_ROWS - workers.rows()));
+            .take_batch(max_jobs.min(MAX_ROWS - workers.rows()));
         if batch.rows.is_empty() && workers.rows() == 0 && !release {
             self.max_jobs.store(MAX_JOBS, Ordering::Relaxed);
             self.mark_roster_written(roster, &workers);
@@ -168,7 +168,8 @@
                     );
                     self.shared.metrics.violation("rejected_transaction");
                     if batch.rows.is_empty() {
-                        // There is no job to leave out, so the next try would be rejected as well.
+                        // There is no job to leave out, so the next attempt would be rejected as
+                        // well.
                         tokio::time::sleep(RETRY_PAUSE).await;
                     }
                     self.handle_rejection(batch, workers.rows() > 0);
@@ -216,11 +217,11 @@
     }
 
     /// Returns the version of the roster, and the changed rows of it that are to be written next.
-    fn changed_roster(&self, most_rows: usize) -> (u64, RosterWrite) {
+    fn changed_roster(&self, max_rows: usize) -> (u64, RosterWrite) {
         let (version, changes) = self.cell().take_roster_changes();
         let mut rows = self.roster_rows();
         rows.apply(changes);
-        (version, rows.next_write(most_rows))
+        (version, rows.next_write(max_rows))
     }
 
     /// Marks rows of the roster as written.  The roster of this version counts as recorded once no
@@ -310,7 +311,7 @@
 
 /// Why a transaction met a newer version of the ownership row.
 enum Conflict {
-    /// An earlier try of the same transaction took effect as this version.
+    /// An earlier attempt at the same transaction took effect as this version.
     TookEffect(u64),
     /// Another node has written the ownership row.
     Lost,
--- a/src/node/roster_rows.rs
+++ b/src/node/roster_rows.rs
@@ -289,22 +289,22 @@
         self.changed.is_empty() && self.obsolete.is_empty()
     }
 
-    /// Returns what the next transaction is to write, in at most `most_rows` rows.  Obsolete rows
+    /// Returns what the next transaction is to write, in at most `max_rows` rows.  Obsolete rows
     /// are dropped only when the rows that replace them are written or are in the same transaction.
-    pub fn next_write(&self, most_rows: usize) -> RosterWrite {
+    pub fn next_write(&self, max_rows: usize) -> RosterWrite {
         let mut write = RosterWrite::default();
         let mut bytes = 0;
         for &prefix in &self.changed {
             let texts: Vec<&str> = self.entry_texts(prefix).map(String::as_str).collect();
             let text = format!("[{}]", texts.join(","));
             bytes += text.len();
-            if write.rows() == most_rows || bytes > MAX_WRITE_BYTES {
+            if write.rows() == max_rows || bytes > MAX_WRITE_BYTES {
                 return write;
             }
             write.puts.push((prefix.key(), text));
             write.written.push(prefix);
         }
-        let left = most_rows - write.rows();
+        let left = max_rows - write.rows();
         let obsolete = self.obsolete.iter().take(left);
         let drops = obsolete.map(|key| RowKey::new(Table::Cells, CELL_PARTITION, key));
         write.drops.extend(drops);
