--- a/src/node/halls.rs
+++ b/src/node/halls.rs
@@ -2,8 +2,8 @@
 //!
 //! The owner and the watchers (the nodes that may own the cell next) follow the operator's rows, so
 //! that a successor knows the evacuated halls at once.  An owner that cannot reach the store
-//! directly reads the rows through another node, since it would otherwise go on to start tasks in
-//! a hall that has been evacuated meanwhile.
+//! directly reads the rows through a peer, since it would otherwise go on to start tasks in a hall
+//! that has been evacuated meanwhile.
 
 use std::sync::Arc;
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads all rows about halls from the store, directly or through another node.
+/// Reads all rows about halls from the store, directly or through a peer.
 ///
 /// # Errors
 /// See [`StoreError`].
--- a/src/node/job_batch.rs
+++ b/src/node/job_batch.rs
@@ -49,8 +49,8 @@
 /// spread.  A slow store carries out two transactions a second in each partition.  Then a few nodes
 /// write for all, each into partitions that no other node uses, in few large transactions.
 /// Otherwise the transactions of different nodes queue up in the same partitions until the store
-/// refuses most of them.  In a load test in which answers took 99 times as long, this raised the
-/// share of the jobs' worth that was earned from 0.76 to 0.80 (docs/DECISIONS.md).
+/// refuses most of them.  With answers that took 99 times as long, this raised the share of the
+/// jobs' total value that was earned from 0.76 to 0.80 (docs/DECISIONS.md).
 #[derive(Debug, Clone, Copy)]
 pub struct WritePlan {
     first: usize,
--- a/src/node/load.rs
+++ b/src/node/load.rs
@@ -2,9 +2,9 @@
 //!
 //! The owner of the cell calls every worker.  On a VM that is too weak for that, or slowed down,
 //! all its calls are late, so the strength of nodes decides which one claims the cell and which one
-//! gives it up (`node::election`).  With 350 workers and VMs of 0.12 and 0.5 of a core, this raised
-//! the share of the jobs' worth that was earned on a benchmark day without faults from nothing to
-//! 0.94 (docs/DECISIONS.md).
+//! gives it up (`node::election`).  With 350 workers, VMs of 0.12 and 0.5 of a core, and no faults,
+//! this raised the share of the jobs' total value that was earned from nothing to 0.94
+//! (docs/DECISIONS.md).
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/node/route.rs
+++ b/src/node/route.rs
@@ -29,8 +29,8 @@
 const RELAY_TIMEOUT: Millis = 1_200;
 /// How many peers are asked, one after the other, to relay a call.
 const MAX_RELAYS: usize = 2;
-/// A peer that has been silent for this long, in milliseconds, is not asked to relay: it has missed
-/// two heartbeats at the default interval.
+/// A peer that has been silent for this long, in milliseconds, is not asked to relay: two intervals
+/// of heartbeats at the default of 500 ms, and ten at the 100 ms of watchers.
 pub const RELAY_WINDOW: Millis = 1_000;
 
 /// How long to wait for the answer to a transaction.
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -155,7 +155,7 @@
         self.owner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks and returns the ends that an owner has reported and could not record yet.
+    /// Locks and returns the early ends (`node::early_ends`) that were reported to this node.
     pub fn early_ends(&self) -> MutexGuard<'_, EarlyEnds> {
         self.early_ends
             .lock()
@@ -301,7 +301,7 @@
         self.store.is_slow(self.now())
     }
 
-    /// Tells whether the store is slow but does answer, so that waiting longer is worthwhile.
+    /// Tells whether the store is slow but does answer, so that waiting longer can succeed.
     pub fn store_answers_slowly(&self) -> bool {
         self.store.answers_slowly(self.now())
     }
--- a/src/node/store_latency.rs
+++ b/src/node/store_latency.rs
@@ -59,7 +59,7 @@
         silent || self.timeout > SLOW_TIMEOUT
     }
 
-    /// Returns whether the store is slow but does answer, so that it is worth while to wait.
+    /// Returns whether the store is slow but does answer, so that waiting longer can succeed.
     pub fn answers_slowly(&self, now: Millis) -> bool {
         let is_recent = |at: Millis| now.saturating_sub(at) < MAX_TIMEOUT;
         self.timeout > SLOW_TIMEOUT && self.last_answer.is_some_and(is_recent)
