--- a/src/cell/crash.rs
+++ b/src/cell/crash.rs
@@ -106,7 +106,7 @@
 }
 
 impl Run {
-    /// Tells whether the start was sent and is not answered, or was answered no earlier than
+    /// Returns whether the start was sent and is not answered, or was answered no earlier than
     /// [`tuning::FRESH_START_AGE`] before `then`.
     pub(super) fn is_fresh(&self, then: Millis) -> bool {
         let is_sent = self.phase != Phase::Planned;
@@ -115,14 +115,14 @@
 }
 
 impl Task {
-    /// Tells whether a start of the task may have crashed a worker. Such a task is started as a
+    /// Returns whether a start of the task may have crashed a worker. Such a task is started as a
     /// trial.
     pub(super) fn is_suspect(&self) -> bool {
         let implicates = |loss: &Loss| !loss.planned && loss.blame != Blame::Late;
         self.losses.iter().any(implicates)
     }
 
-    /// Tells whether the losses of the task allow another start. If a pending verdict could fail
+    /// Returns whether the losses of the task allow another start. If a pending verdict could fail
     /// the job, it is awaited first: otherwise a task could crash one more worker while the last
     /// one is slow to come back.
     pub(super) fn losses_allow_start(&self) -> bool {
@@ -130,7 +130,7 @@
         !self.exceeds_crash_limit(may_count)
     }
 
-    /// Tells whether the losses for which `counts` holds are enough to fail the job.
+    /// Returns whether the losses for which `counts` holds are enough to fail the job.
     fn exceeds_crash_limit(&self, counts: impl Fn(&Loss) -> bool) -> bool {
         let counted = || self.losses.iter().filter(|loss| counts(loss));
         let sole = || counted().filter(|loss| loss.blame == Blame::Sole);
@@ -311,7 +311,7 @@
         self.clear_losses_of_life(&life, sent);
     }
 
-    /// Tells whether the worker's clock, by its latest answer, is past the time at which an
+    /// Returns whether the worker's clock, by its latest answer, is past the time at which an
     /// unanswered start should have been carried out. The answer to any poll counts, also to one
     /// that was sent before the start and has waited at the worker for an end.
     fn is_past_start_window(&self, key: WorkerKey, run: RunKey) -> bool {
@@ -359,7 +359,7 @@
         runs.find(|&run| self.runs[run].number == loss_key.run)
     }
 
-    /// Tells whether an unanswered start may be carried out after a poll was sent at `sent`: no
+    /// Returns whether an unanswered start may be carried out after a poll was sent at `sent`: no
     /// confirmed stop had barred it by then.
     fn may_begin_after(&self, key: RunKey, sent: Sequence) -> bool {
         let run = &self.runs[key];
@@ -497,7 +497,7 @@
         }
     }
 
-    /// Tells whether another life proves that `life` has ended: one of the same id that has
+    /// Returns whether another life proves that `life` has ended: one of the same id that has
     /// answered, or one of the same machine that has answered since the first loss on `life` was
     /// noted. The entry of another life alone proves nothing, since it may be that of an earlier
     /// one.
--- a/src/cell/intake.rs
+++ b/src/cell/intake.rs
@@ -130,14 +130,14 @@
             .collect()
     }
 
-    /// Tells whether workers will report to a successor all ends of a job's runs that are not
+    /// Returns whether workers will report to a successor all ends of a job's runs that are not
     /// recorded.
     fn workers_retain_ends(&self, job: &Job) -> bool {
         let mut ends = job.unrecorded_ends.iter();
         ends.all(|end| self.will_retain_ends(end.worker))
     }
 
-    /// Tells whether a worker can be relied on to report to a successor which runs have ended
+    /// Returns whether a worker can be relied on to report to a successor which runs have ended
     /// there.
     fn will_retain_ends(&self, key: WorkerKey) -> bool {
         self.workers.get(key).is_some_and(|worker| {
--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -31,7 +31,7 @@
 }
 
 impl JobState {
-    /// Tells whether the job has ended, so that none of its tasks is started any more.
+    /// Returns whether the job has ended, so that none of its tasks is started any more.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Succeeded | Self::Failed | Self::Cancelled)
     }
@@ -183,7 +183,7 @@
 }
 
 impl Task {
-    /// Tells whether the task is not done and has no run that may be going on.
+    /// Returns whether the task is not done and has no run that may be going on.
     pub fn waits(&self) -> bool {
         !self.done && self.runs.is_empty()
     }
@@ -254,8 +254,9 @@
 }
 
 impl Run {
-    /// Tells whether a worker's answer to the start shows a clock that has started again since the
-    /// start was sent, which means that the worker has restarted.
+    /// Returns whether `clock`, the worker's clock in its answer to the start, shows that the
+    /// worker has restarted since the start was sent: it is more than [`tuning::LEASE_MARGIN`]
+    /// behind what it was then.
     pub(super) fn is_from_other_clock(&self, clock: Millis) -> bool {
         clock + tuning::START_VALIDITY + tuning::LEASE_MARGIN < self.expires
     }
--- a/src/cell/lapse.rs
+++ b/src/cell/lapse.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Tells whether the worker is in the roster and its lease is not being renewed.
+/// Returns whether the worker is in the roster and its lease is not being renewed.
 fn has_unrenewed_lease(worker: &Worker) -> bool {
     worker.roster_state != RosterState::Absent && (!worker.fenced || worker.is_silent())
 }
--- a/src/cell/poll.rs
+++ b/src/cell/poll.rs
@@ -147,8 +147,8 @@
         );
     }
 
-    /// Tells whether a task may be one of ours that is not known yet: the row of its job could not
-    /// be read, or its scheduled time has not come by our wall clock, though it had by a former
+    /// Returns whether a task may be one of ours that is not known yet: the row of its job could
+    /// not be read, or its scheduled time has not come by our wall clock, though it had by a former
     /// owner's.
     fn is_unread(&self, task: TaskName) -> bool {
         let id = task.step.job;
@@ -395,15 +395,15 @@
     }
 }
 
-/// Tells whether a life may hold a lease that was meant for the clock of a former life, given by
+/// Returns whether a life may hold a lease that was meant for the clock of a former life, given by
 /// this owner or another: a start that arrives late gives such a lease, even if it is refused.
 fn may_have_former_life_lease(worker: &Worker, report: &PollReport) -> bool {
     let is_young = report.born.is_some() && report.clock <= FormerLives::RELEVANT_FOR;
     is_young || worker.former.epoch_offset() > 0
 }
 
-/// Tells whether a life that has not answered before has discarded ends that nobody has read: each
-/// life numbers its ends from one without gaps.
+/// Returns whether a life that has not answered before has discarded ends that nobody has read:
+/// each life numbers its ends from one without gaps.
 fn has_discarded_ends(worker: &Worker, report: &PollReport) -> bool {
     let is_next = |end: &EndEntry| end.end_number <= worker.accepted_end + 1;
     let missing = worker.former.epoch_offset() > 0 && !report.ended.first().is_none_or(is_next);
--- a/src/cell/record.rs
+++ b/src/cell/record.rs
@@ -49,7 +49,7 @@
 }
 
 impl JobProgress {
-    /// Tells whether the end of a run is covered; the end of the job covers all of its runs.
+    /// Returns whether the end of a run is covered; the end of the job covers all of its runs.
     fn contains(&self, end: &UnrecordedEnd) -> bool {
         let mut tasks = self.tasks.iter();
         let is_in = |task: &TaskProgress| {
@@ -116,7 +116,7 @@
         batch
     }
 
-    /// Tells whether the progress of any job waits to be recorded.
+    /// Returns whether the progress of any job waits to be recorded.
     pub fn has_unrecorded_progress(&self) -> bool {
         self.jobs.values().any(|job| job.dirty)
     }
--- a/src/cell/run.rs
+++ b/src/cell/run.rs
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Tells whether it is unknown if a run goes on, since its start was not answered.
+    /// Returns whether it is unknown if a run goes on, since its start was not answered.
     pub fn is_doubtful(&self, key: RunKey) -> bool {
         let run = self.runs.get(key);
         run.is_some_and(|run| run.phase == Phase::Doubtful)
--- a/src/cell/spec.rs
+++ b/src/cell/spec.rs
@@ -53,7 +53,7 @@
 }
 
 impl Demand {
-    /// Tells whether this demand fits into `room`.
+    /// Returns whether this demand fits into `room`.
     pub fn fits(&self, room: &Demand) -> bool {
         self.millicores <= room.millicores && self.memory <= room.memory && self.gpus <= room.gpus
     }
@@ -162,7 +162,7 @@
         if self.gang { self.tasks } else { 1 }
     }
 
-    /// Tells whether the tasks serve requests of users who wait for the answers.
+    /// Returns whether the tasks serve requests of users who wait for the answers.
     pub fn serves(&self) -> bool {
         self.target > 0
     }
