--- a/tests/random_world/mod.rs
+++ b/tests/random_world/mod.rs
@@ -56,7 +56,7 @@
 /// Run times of tasks are below this, in milliseconds.
 const MAX_RUN_TIME: u64 = 1_500;
 /// Shortest run time, in milliseconds, where workers restart under the same ids.  It is longer than
-/// a call and its answer take, as it is for all tasks that users submit: a poll that overtakes a
+/// a call and its answer take, as it is for all tasks that callers submit: a poll that overtakes a
 /// whole run and the answer to its start could make the next life forget an end that nobody can
 /// know of (docs/FINDINGS.md, "Lives").
 const MIN_RUN_TIME: u64 = 300;
@@ -192,7 +192,7 @@
     starts_by_wrong_life: BTreeSet<(TaskName, u64, Millis)>,
     /// Runs whose failure a worker was told to forget before its lease had expired.
     acknowledged_failures: BTreeSet<(TaskName, u64)>,
-    /// When the lease of a worker's present life had expired, by id.
+    /// The ticks at which the lease of a worker's present life was expired, by id.
     lease_expiries: BTreeMap<String, Vec<Millis>>,
     /// No more faults occur.
     faults_ended: bool,
@@ -530,7 +530,7 @@
         }
     }
 
-    /// A caller submits a job again whose row the owner has not read yet.
+    /// A caller submits a job again whose row the owner may not have read yet.
     pub(super) fn resubmit(&mut self) {
         let count = self.unread.len();
         if count == 0 || !self.store_is_up() {
@@ -554,7 +554,7 @@
     pub(super) fn tick(&mut self) {
         self.now += TICK;
         self.lose_due_owner();
-        tracing::trace!(now = self.now, "turn");
+        tracing::trace!(now = self.now, "tick");
         self.begin_due_lives();
         self.list_new_lives();
         self.update_stale_entries();
--- a/tests/random_world/wire.rs
+++ b/tests/random_world/wire.rs
@@ -185,9 +185,9 @@
         let cell = &mut self.owner.cell;
         if answer.is_ok() {
             self.unresolved_starts.retain(|(epoch, _), start| {
-                let told = start.given_up.is_some_and(|at| at < order.sent);
-                let told = told || *epoch < self.epoch;
-                start.life != order.to.life.id || !told
+                let is_known = start.given_up.is_some_and(|at| at < order.sent);
+                let is_known = is_known || *epoch < self.epoch;
+                start.life != order.to.life.id || !is_known
             });
         }
         let has_ends = matches!(&answer, Ok(list) if !list.ended.is_empty());
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -152,8 +152,9 @@
     // Assert.
     let owner = cell.owner().expect("a new owner");
     let address = cell.members[owner].shared().address;
-    let hear = |member: &&virtual_cell::Member| member.shared().owner().address == Some(address);
-    assert_eq!(cell.members.iter().filter(hear).count(), MANY - 1);
+    let knows_owner =
+        |member: &&virtual_cell::Member| member.shared().owner().address == Some(address);
+    assert_eq!(cell.members.iter().filter(knows_owner).count(), MANY - 1);
 }
 
 /// A store that is 77 times slower than usual: how long an answer takes, and how long a transaction
