--- a/src/cell/job.rs
+++ b/src/cell/job.rs
@@ -31,7 +31,7 @@
 }
 
 impl JobState {
-    /// Tells whether the job has ended, so that none of its tasks is started any more.
+    /// Returns whether the job has ended, so that none of its tasks is started any more.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Succeeded | Self::Failed | Self::Cancelled)
     }
@@ -72,7 +72,7 @@
     /// The queue as in the latest configuration that has it.
     pub queue: Queue,
     /// What the policy decided about the job.
-    pub ordering: Decision,
+    pub decision: Decision,
     /// Whether the configuration in force has the queue.
     pub queue_configured: bool,
     /// The state as decided by this owner.
@@ -87,10 +87,11 @@
     pub accepted_at: Millis,
     /// The length of the critical path of all steps by the caller's estimates, in milliseconds.
     pub critical_path: Millis,
-    /// A former owner may have started tasks of the job.
-    pub predates: bool,
-    /// Starts of the job's tasks may have been lost with a former owner that had not recorded them,
-    /// so each further start is recorded before it is sent.
+    /// The job may have been submitted before this ownership began, so a former owner may have
+    /// started tasks of it.
+    pub predates_ownership: bool,
+    /// A former owner may have started tasks of the job without recording that, so each further
+    /// start is recorded before it is sent.
     pub record_starts_first: bool,
     /// The steps of each occurrence begun so far; only 0 exists for a job without schedule.
     pub occurrences: BTreeMap<u32, Vec<StepKey>>,
@@ -182,7 +183,7 @@
 }
 
 impl Task {
-    /// Tells whether the task is not done and has no run that may be going on.
+    /// Returns whether the task is not done and has no run that may be going on.
     pub fn waits(&self) -> bool {
         !self.done && self.runs.is_empty()
     }
@@ -253,8 +254,9 @@
 }
 
 impl Run {
-    /// Tells whether a worker's answer to the start shows a clock that has started again since the
-    /// start was sent, which means that the worker has restarted.
+    /// Returns whether `clock`, the worker's clock in its answer to the start, shows that the
+    /// worker has restarted since the start was sent: it is more than [`tuning::LEASE_MARGIN`]
+    /// behind what it was then.
     pub(super) fn is_from_other_clock(&self, clock: Millis) -> bool {
         clock + tuning::START_VALIDITY + tuning::LEASE_MARGIN < self.expires
     }
--- a/src/cell/spec.rs
+++ b/src/cell/spec.rs
@@ -53,7 +53,7 @@
 }
 
 impl Demand {
-    /// Tells whether this demand fits into `room`.
+    /// Returns whether this demand fits into `room`.
     pub fn fits(&self, room: &Demand) -> bool {
         self.millicores <= room.millicores && self.memory <= room.memory && self.gpus <= room.gpus
     }
@@ -141,7 +141,8 @@
     pub target: Millis,
     /// The tasks use only the processor time that other tasks leave on a worker.
     pub filler: bool,
-    /// How many lasting tasks the scheduler may take out of service at a time.
+    /// How many lasting tasks the caller lets the scheduler take out of service at a time.  Stored
+    /// with the job; the scheduler does not use it.
     pub may_miss: u32,
 }
 
@@ -161,7 +162,7 @@
         if self.gang { self.tasks } else { 1 }
     }
 
-    /// Tells whether the tasks serve requests of users who wait for the answers.
+    /// Returns whether the tasks serve requests of users who wait for the answers.
     pub fn serves(&self) -> bool {
         self.target > 0
     }
@@ -266,11 +267,11 @@
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
             return Err(SpecError::StepCount);
         }
-        for (place, step) in self.steps.iter().enumerate() {
+        for (index, step) in self.steps.iter().enumerate() {
             if step.tasks == 0 || step.tasks > MAX_TASKS {
                 return Err(SpecError::TaskCount);
             }
-            if step.after.iter().any(|&earlier| earlier >= place) {
+            if step.after.iter().any(|&earlier| earlier >= index) {
                 return Err(SpecError::Order);
             }
             if step.demand.millicores > MAX_MILLICORES {
--- a/src/node/loading.rs
+++ b/src/node/loading.rs
@@ -134,7 +134,7 @@
         halls::read(shared),
     );
     if let Err(err) = halls {
-        tracing::info!(%err, "cannot read the evacuated halls");
+        tracing::info!(%err, "evacuated halls cannot be read");
     }
     let (former, progress) = (former?, progress?);
     let now = shared.now();
@@ -146,7 +146,7 @@
         cell.mark_roster_incomplete();
     }
     cell.restore_roster(workers, now);
-    cell.await_list();
+    cell.await_worker_list();
     cell.await_evacuated_halls();
     if let Some(leases) = recording::read_remaining_leases(&former.0) {
         cell.apply_remaining_leases(&leases, now);
