--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -115,8 +115,8 @@
     }
 }
 
-/// Tells whether this node relies on the owner to notify it of newer versions: it hears the owner,
-/// and it is neither the owner itself nor a watcher, since these read the store.
+/// Returns whether this node relies on the owner to notify it of newer versions: it hears the
+/// owner, and it is neither the owner itself nor a watcher, since these read the store.
 fn is_notified(shared: &Shared) -> bool {
     let is_heard = {
         let owner = shared.owner();
--- a/src/node/confirming.rs
+++ b/src/node/confirming.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Tells whether the ownership row was read, by this node or another one.
+/// Returns whether the ownership row was read, by this node or another one.
 fn has_row(responses: &[Response]) -> bool {
     responses
         .iter()
--- a/src/node/early_ends.rs
+++ b/src/node/early_ends.rs
@@ -53,7 +53,7 @@
         workspaces.map(|(&id, name)| (id, name.clone())).collect()
     }
 
-    /// Tells whether a caller may see the end of a job.  A job whose workspace was not reported
+    /// Returns whether a caller may see the end of a job.  A job whose workspace was not reported
     /// counts as belonging to none.
     pub fn may_see(&self, caller: &Caller, id: JobId) -> bool {
         let workspace = self.workspaces.get(&id);
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -94,7 +94,7 @@
     announce(&shared).await;
 }
 
-/// Tells whether the row of this node is in the store already, with the value `own`.
+/// Returns whether the row of this node is in the store already, with the value `own`.
 async fn is_registered(shared: &Arc<Shared>, own: &str) -> bool {
     let call = StoreCall::row(Table::Nodes, NODES_PARTITION, &shared.name);
     match shared.store(call).await {
@@ -229,9 +229,9 @@
     }
 }
 
-/// Tells whether this owner should give the cell up, since another node that could claim it is far
-/// stronger.  Not before [`MIN_TERM`] has passed, and not while this node does not reach the store
-/// or the store is slow, as the release could not be written quickly then.
+/// Returns whether this owner should give the cell up, since another node that could claim it is
+/// far stronger.  Not before [`MIN_TERM`] has passed, and not while this node does not reach the
+/// store or the store is slow, as the release could not be written quickly then.
 fn should_yield(shared: &Shared, engine: &Engine, now: Millis) -> bool {
     let may_be_released = shared.reaches_store() && !shared.store_is_slow();
     if now.saturating_sub(engine.held_since) < MIN_TERM || !may_be_released {
@@ -431,7 +431,7 @@
     }
 }
 
-/// Tells whether the node that claimed the cell after the known owner may still be heard as the
+/// Returns whether the node that claimed the cell after the known owner may still be heard as the
 /// owner.
 ///
 /// If its process has restarted since, it is not.  A node that does not answer is given time, but
--- a/src/node/following.rs
+++ b/src/node/following.rs
@@ -166,9 +166,9 @@
         }
     }
 
-    /// Tells whether the former owner has certainly stopped giving orders.  Until then it may still
-    /// be notified of new jobs and start their tasks, and a worker may report such a run before
-    /// this owner has read the job's row.
+    /// Returns whether the former owner has certainly stopped giving orders.  Until then it may
+    /// still be notified of new jobs and start their tasks, and a worker may report such a run
+    /// before this owner has read the job's row.
     fn has_former_owner_stopped(&self) -> bool {
         self.shared.now() > self.held_since + tuning::OWNER_STOP_TIME
     }
--- a/src/node/front.rs
+++ b/src/node/front.rs
@@ -93,12 +93,12 @@
         RequestGuard(Arc::clone(&self.requests))
     }
 
-    /// Tells whether no request is in progress.
+    /// Returns whether no request is in progress.
     pub fn is_idle(&self) -> bool {
         self.requests.load(Ordering::Relaxed) == 0
     }
 
-    /// Tells whether the load balancer should send new connections here: the node has a
+    /// Returns whether the load balancer should send new connections here: the node has a
     /// configuration, reaches the store and is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.shared.config().is_some() && !self.shared.is_leaving() && self.shared.can_reach_store()
@@ -149,7 +149,7 @@
         outcome
     }
 
-    /// Tells whether a job with this id exists that the caller may not see.  The row of that job
+    /// Returns whether a job with this id exists that the caller may not see.  The row of that job
     /// must not be overwritten, and a second job with its id would never run.
     ///
     /// Only callers with a workspace are checked.  Without an owner the id counts as free, since no
--- a/src/node/job_batch.rs
+++ b/src/node/job_batch.rs
@@ -175,13 +175,13 @@
         }
     }
 
-    /// Tells whether the jobs may have been written, or may still be.
+    /// Returns whether the jobs may have been written, or may still be.
     fn may_be_written(&self) -> bool {
         self.has_unknown_result || !self.in_flight.is_empty()
     }
 
-    /// Tells whether nothing is in flight and further attempts are pointless: so many were refused,
-    /// or the store cannot be reached.
+    /// Returns whether nothing is in flight and further attempts are pointless: so many were
+    /// refused, or the store cannot be reached.
     fn should_give_up(&self) -> bool {
         let enough = !self.has_unknown_result && self.started >= MAX_REFUSED_ATTEMPTS;
         self.in_flight.is_empty() && (enough || !self.shared.can_reach_store())
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Tells whether it was heard within the last `window`.
+    /// Returns whether it was heard within the last `window`.
     pub fn was_heard(&self, window: Millis, now: Millis) -> bool {
         self.last_heard > 0 && now.saturating_sub(self.last_heard) < window
     }
@@ -308,7 +308,7 @@
         self.digest
     }
 
-    /// Tells whether a node has the same list as this one, according to its last heartbeat.
+    /// Returns whether a node has the same list as this one, according to its last heartbeat.
     pub fn is_in_sync(&self, member: &Member) -> bool {
         member.membership == self.digest
     }
@@ -382,7 +382,7 @@
         self.known.get(name)
     }
 
-    /// Tells whether a node is a watcher.
+    /// Returns whether a node is a watcher.
     pub fn watches(&self, name: &str) -> bool {
         self.watchers.contains(name)
     }
--- a/src/node/orders.rs
+++ b/src/node/orders.rs
@@ -26,7 +26,7 @@
 /// Maximum time for which a poll from a worker's loop waits for an end.  It is above
 /// `tuning::MAX_POLL_WAIT`, so that the core alone decides how long the poll waits.
 const POLL_WAIT_LIMIT: Duration = Duration::from_secs(2);
-/// How much longer than expected an advice question may take, also through another node, in
+/// How much longer than expected an advice question may take, also through a peer, in
 /// milliseconds.
 const ADVICE_SLACK: Millis = 500;
 
--- a/src/node/owner.rs
+++ b/src/node/owner.rs
@@ -44,13 +44,13 @@
 }
 
 impl Owner {
-    /// Tells whether neither the owner nor a claimant has been active for so long that this node
+    /// Returns whether neither the owner nor a claimant has been active for so long that this node
     /// may have to claim the cell.
     pub fn is_suspect(&self, now: Millis) -> bool {
         self.inactivity(now) > suspicion_timeout(self.interval)
     }
 
-    /// Tells whether the owner itself has been silent for that long, whether or not another node
+    /// Returns whether the owner itself has been silent for that long, whether or not another node
     /// is claiming the cell.
     pub fn is_silent(&self, now: Millis) -> bool {
         self.silence(now) > suspicion_timeout(self.interval)
@@ -73,8 +73,8 @@
         elapsed(self.last_heard, now)
     }
 
-    /// Tells whether this heartbeat comes from the known owner and says that it no longer owns the
-    /// cell.
+    /// Returns whether this heartbeat comes from the known owner and says that it no longer owns
+    /// the cell.
     pub fn is_released_by(&self, beat: &Heartbeat) -> bool {
         let is_owner = self
             .address
--- a/src/node/roster_rows.rs
+++ b/src/node/roster_rows.rs
@@ -153,7 +153,7 @@
         (roster, found.into_values().collect())
     }
 
-    /// Tells whether some row of the former owner's roster could not be parsed.
+    /// Returns whether some row of the former owner's roster could not be parsed.
     pub fn has_unreadable_rows(&self) -> bool {
         self.has_unreadable_rows
     }
@@ -284,7 +284,7 @@
         self.entry_texts(prefix).map(|text| text.len() + 1).sum()
     }
 
-    /// Tells whether all changes that were applied are written.
+    /// Returns whether all changes that were applied are written.
     pub fn is_written(&self) -> bool {
         self.changed.is_empty() && self.obsolete.is_empty()
     }
--- a/src/node/route.rs
+++ b/src/node/route.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Tells whether the direct route works, according to the last probe.
+    /// Returns whether the direct route works, according to the last probe.
     pub fn direct_works(&self) -> bool {
         self.direct_works.load(Ordering::Relaxed)
     }
@@ -191,12 +191,12 @@
         Duration::from_millis(self.lock_latency().timeout())
     }
 
-    /// Tells whether the store is slow but does answer.
+    /// Returns whether the store is slow but does answer.
     pub fn answers_slowly(&self, now: Millis) -> bool {
         self.lock_latency().answers_slowly(now)
     }
 
-    /// Tells whether the store is slow, or has not answered for so long that it probably is.
+    /// Returns whether the store is slow, or has not answered for so long that it probably is.
     pub fn is_slow(&self, now: Millis) -> bool {
         self.lock_latency().is_slow(now)
     }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -222,7 +222,7 @@
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether the node is shutting down.
+    /// Returns whether the node is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
@@ -296,12 +296,12 @@
         self.store.timeout()
     }
 
-    /// Tells whether the store is slow, or has not answered for so long that it probably is.
+    /// Returns whether the store is slow, or has not answered for so long that it probably is.
     pub fn store_is_slow(&self) -> bool {
         self.store.is_slow(self.now())
     }
 
-    /// Tells whether the store is slow but does answer, so that waiting longer can succeed.
+    /// Returns whether the store is slow but does answer, so that waiting longer can succeed.
     pub fn store_answers_slowly(&self) -> bool {
         self.store.answers_slowly(self.now())
     }
@@ -329,13 +329,13 @@
         self.store.probe_loop(Arc::clone(&self)).await;
     }
 
-    /// Tells whether the store can be reached, directly or through a peer.
+    /// Returns whether the store can be reached, directly or through a peer.
     pub fn can_reach_store(&self) -> bool {
         let relays = || self.members().relays(self.now(), RELAY_WINDOW);
         self.reaches_store() || !relays().is_empty()
     }
 
-    /// Tells whether the direct route to the store works.
+    /// Returns whether the direct route to the store works.
     pub fn reaches_store(&self) -> bool {
         self.store.direct_works()
     }
